--- a/src/beamloom/node/backend_judge.py
+++ b/src/beamloom/node/backend_judge.py
@@ -1,7 +1,7 @@
-"""What a node makes of backends that seem silent, failing or dead, and of its peers' reports.
+"""Handles backends that appear silent, failing or dead, here or by reports of peers.
 
-Silent ones and those that answer with errors are passed over for new flows; only what this node's
-own check finds dead loses its open flows.
+Silent and failing backends are excluded from new flows. Open flows are reset only when a liveness
+check by this node finds their backend dead.
 """
 
 from __future__ import annotations
@@ -18,26 +18,22 @@
 if TYPE_CHECKING:
     from beamloom.replication.view_exchange import ViewExchange
 
-SUSPECT_BY_PEERS_SECONDS = 2.0
-"""How long a backend is passed over that other nodes have found silent."""
-AVOID_FAILING_SECONDS = 2.0
-"""How long after the last report a backend is passed over that answers with errors."""
-
-
+PEER_SUSPICION_SECONDS = 2.0
+"""How long a backend that several nodes report as silent is excluded from new flows."""
+FAILING_EXCLUSION_SECONDS = 2.0
+"""How long after a report a failing backend is excluded from new flows."""
 RELAPSE_SECONDS = 4.0
-"""A backend that fails again so soon after it was passed over has not recovered in between."""
-MOST_FAILING_DOUBLINGS = 2
-"""Each relapse doubles the time; 8 s at most, so that one that has recovered serves again soon."""
-DOUBT_SECONDS = 3.0
-"""How long requests that may not run twice keep away after a sign seen here: it may be chance, and
-other backends take them.
-"""
-DOUBT_CONFIRMED_SECONDS = 8.0
-"""The same after several nodes saw signs. Requests that may run twice try the backend sooner."""
+"""A failure within this time after the end of an exclusion counts as a relapse."""
+MAX_EXCLUSION_DOUBLINGS = 2
+"""Each relapse doubles the exclusion, up to this many times (8 s)."""
+UNSAFE_AVOIDANCE_SECONDS = 3.0
+"""How long non-repeatable requests prefer other backends after one node saw a sign of failure."""
+CONFIRMED_UNSAFE_AVOIDANCE_SECONDS = 8.0
+"""The same after several nodes saw signs of failure."""
 
 
 class BackendJudge:
-    """Joins a router's signs of trouble, the checks, and what nodes tell each other."""
+    """Connects the router's failure signals, the liveness checks and the reports between nodes."""
 
     def __init__(
         self, router: TokenRouter, observer: BeliefObserver, mechanisms: Mechanisms
@@ -48,103 +44,109 @@
         self._mechanisms = mechanisms
         self._exchange: ViewExchange | None = None
         self._is_late = False
-        router.flows.on_unanswered = self._tell_unanswered
+        router.flows.on_unanswered = self._report_unanswered
         if mechanisms.overdue_answers:
             router.flows.find_patience = router.find_patience
-            router.flows.on_overdue = self._tell_overdue
+            router.flows.on_overdue = self._report_overdue
         if mechanisms.error_answers:
-            router.flows.on_short_answer = self._tell_failure
+            router.flows.on_short_answer = self._report_failure
         if mechanisms.liveness_checks:
             router.flows.on_suspicion = self.checks.suspect
             self.checks.on_down = self._note_down
             self.checks.on_up = self._note_up
 
     def join(self, exchange: ViewExchange) -> None:
-        """Tell other nodes, and hear them, from now on."""
+        """Start to send reports to other nodes and to handle theirs."""
         self._exchange = exchange
-        exchange.reports.on_silent = self._avoid_silent
-        exchange.reports.on_failing = self._avoid_failing
-        exchange.reports.on_sign_of_failure = self._doubt
+        exchange.reports.on_silent = self._exclude_silent
+        exchange.reports.on_failing = self._exclude_failing
+        exchange.reports.on_sign_of_failure = self._handle_failure_report
         if self._mechanisms.liveness_checks:
-            exchange.reports.on_down = self._take_down_report
+            exchange.reports.on_down = self._handle_down_report
 
     def advance(self, now: float, *, is_late: bool) -> None:
-        """Let time pass; a node that `is_late` cannot tell who is silent."""
+        """Run due checks; while `is_late`, missing answers are not reported.
+
+        They may be due to delays of this node.
+        """
         self._is_late = is_late
         self.checks.advance(now)
 
     def note_gone(self, backend: Backend, now: float) -> None:
-        """Check a backend that the store has ceased to list, if flows are open there."""
+        """Check a backend that the store no longer lists, if it has open flows."""
         if backend.open:
             self._router.flows.on_suspicion(backend, Suspicion.GONE, now)
 
     def note_listed(self, name: str, now: float) -> None:
-        """Check a backend again that was found dead and that the store lists, or lists anew."""
+        """Check a backend again that was found dead, as its entry is new or has changed."""
         backend = self._router.backends.find(name)
         if backend is not None and backend.down_since is not None:
             self.checks.watch(backend, now)
 
-    def _tell_unanswered(self, backend: Backend, now: float) -> None:
-        """Tell others of a silent backend, unless it is this node that is slow.
+    def _report_unanswered(self, backend: Backend, now: float) -> None:
+        """Report an unanswered opening, unless this node is late.
 
-        What a former life of it left unanswered tells nothing of the present one.
+        A backend that was dropped from the table is ignored: another process may have its name.
         """
         if self._is_late or backend.forgotten:
             return
-        backend.doubt(now + DOUBT_SECONDS)
+        backend.doubt(now + UNSAFE_AVOIDANCE_SECONDS)
         if self._exchange is not None and self._mechanisms.told_silence:
             self._exchange.reports.note_silent(backend.record.name, now)
 
-    def _tell_failure(self, backend: Backend, now: float) -> None:
-        """Doubt a backend after a sign of failure seen here, and tell others of it."""
+    def _report_failure(self, backend: Backend, now: float) -> None:
+        """Keep non-repeatable requests from a backend that seems to fail, and report it."""
         if backend.forgotten:
             return
-        backend.doubt(now + DOUBT_SECONDS)
+        backend.doubt(now + UNSAFE_AVOIDANCE_SECONDS)
         if self._exchange is not None:
             self._exchange.reports.note_failing(backend.record.name, now)
 
-    def _tell_overdue(self, backend: Backend, now: float) -> None:
-        """Tell others of a backend that is late with an answer, unless this node is slow."""
+    def _report_overdue(self, backend: Backend, now: float) -> None:
+        """Report a backend whose answer is overdue, unless this node is late."""
         if self._is_late:
             return
         self._router.counters["answers_overdue"] += 1
-        self._tell_failure(backend, now)
+        self._report_failure(backend, now)
 
-    def _avoid_silent(self, name: str, since: float, now: float) -> None:
-        """Pass over what several nodes have found silent."""
-        until = since + SUSPECT_BY_PEERS_SECONDS
+    def _exclude_silent(self, name: str, since: float, now: float) -> None:
+        """Exclude a backend that several nodes report as silent from new flows."""
+        until = since + PEER_SUSPICION_SECONDS
         silent = self._router.backends.suspect(name, since, until)
         if silent is not None:
             self._observer.suspected(name, silent.record.service, max(0.0, now - since))
 
-    def _avoid_failing(self, name: str, since: float, now: float) -> None:
-        """Pass over what fails requests of several nodes; its open flows stay."""
+    def _exclude_failing(self, name: str, since: float, now: float) -> None:
+        """Exclude a backend that several nodes report as failing; its open flows stay."""
         backend = self._router.backends.find_alive_since(name, since)
         if backend is None:
             return
-        backend.doubt(since + DOUBT_CONFIRMED_SECONDS)
-        spells = self._spells(backend, now)
-        until = since + AVOID_FAILING_SECONDS * 2**spells
+        backend.doubt(since + CONFIRMED_UNSAFE_AVOIDANCE_SECONDS)
+        spells = self._relapse_count(backend, now)
+        until = since + FAILING_EXCLUSION_SECONDS * 2**spells
         failing = self._router.backends.note_failing(name, since, now, until)
         if failing is not None:
             failing.failing_spells = spells
             self._observer.backend_failing(failing.record)
 
-    def _spells(self, backend: Backend, now: float) -> int:
-        """Return how often a backend has been passed over for failures in a row, bounded."""
+    def _relapse_count(self, backend: Backend, now: float) -> int:
+        """Return the number of relapses in a row, at most MAX_EXCLUSION_DOUBLINGS."""
         if backend.failing_until >= now or not self._mechanisms.longer_relapses:
             return backend.failing_spells
         relapsed = now - backend.failing_until < RELAPSE_SECONDS
-        return min(backend.failing_spells + 1, MOST_FAILING_DOUBLINGS) if relapsed else 0
+        return min(backend.failing_spells + 1, MAX_EXCLUSION_DOUBLINGS) if relapsed else 0
+
+    def _handle_failure_report(self, name: str, since: float) -> None:
+        """Keep non-repeatable requests from a backend after a report of any single node.
 
-    def _doubt(self, name: str, since: float) -> None:
-        """Take one node's sign of failure; no quorum, as others take what may not run twice."""
+        It needs no quorum, as such requests only prefer other backends.
+        """
         backend = self._router.backends.find_alive_since(name, since)
         if backend is not None:
-            backend.doubt(since + DOUBT_SECONDS)
+            backend.doubt(since + UNSAFE_AVOIDANCE_SECONDS)
 
     def _note_down(self, backend: Backend, outcome: CheckOutcome, now: float) -> None:
-        """End the flows of a backend that a check found dead, and let others check it too."""
+        """Reset the open flows of a backend that a check found dead, and report it to peers."""
         flows = self._router.end_flows(backend, RefusalReason.BACKEND_DOWN)
         self._observer.backend_down(backend.record, outcome, flows)
         if self._exchange is not None:
@@ -157,12 +159,12 @@
             self._router.backends.note_process_began(backend, now)
         self._observer.backend_up(backend.record)
 
-    def _take_down_report(self, name: str, now: float) -> None:
-        """Check a backend that another node found dead; pass it over where no flow is open here."""
+    def _handle_down_report(self, name: str, now: float) -> None:
+        """Check a backend that a peer found dead, or only suspect it if no flow is open here."""
         backend = self._router.backends.find(name)
         if backend is None:
             return
         if backend.open:
             self.checks.suspect(backend, Suspicion.REPORTED, now)
         else:
-            self._router.backends.suspect(name, now, now + SUSPECT_BY_PEERS_SECONDS)
+            self._router.backends.suspect(name, now, now + PEER_SUSPICION_SECONDS)
--- a/src/beamloom/node/core.py
+++ b/src/beamloom/node/core.py
@@ -51,12 +51,12 @@
         self.options = options
         machine = options.machine
         node_id = machine.node_id
-        chance = random.Random(f"{options.seed}/{node_id}")
-        self.membership = MembershipCore(machine, options.seeds, options.membership, chance)
-        self.replica = ConfigurationReplica(node_id, chance, now)
-        self.election = ReaderElection(node_id, self.replica, chance, itertools.count(1))
-        self.fleet_status = FleetStatus(node_id, lambda: self.replica.applied_revision, chance, now)
-        self.watchers = BackendWatchers(node_id, chance, now)
+        rng = random.Random(f"{options.seed}/{node_id}")
+        self.membership = MembershipCore(machine, options.seeds, options.membership, rng)
+        self.replica = ConfigurationReplica(node_id, rng, now)
+        self.election = ReaderElection(node_id, self.replica, rng, itertools.count(1))
+        self.fleet_status = FleetStatus(node_id, lambda: self.replica.applied_revision, rng, now)
+        self.watchers = BackendWatchers(node_id, rng, now)
         self.admission = TenantAdmission(options.table_capacity, now)
         self.gate = TenantGate(self.admission)
         self._health = ObservedHealth(self.watchers, now)
@@ -85,14 +85,14 @@
             )
         )
         self._view_version = -1
-        self._stop_by: float | None = None
+        self._stop_deadline: float | None = None
         self._stopped = False
 
     # -- the adapter's calls -------------------------------------------------------------------
 
     def start(self, now: float) -> list[Command]:
         """Begin: returns the first commands."""
-        self._timers.touch_all()
+        self._timers.invalidate_all()
         return self._finish(self.membership.start(now), now)
 
     def packet_received(
@@ -108,8 +108,8 @@
 
     def take_commands(self, now: float) -> list[Command]:
         """Return and clear the commands that packets gave rise to."""
-        self._forwarder_group.touch()
-        self._watchers_group.touch()
+        self._forwarder_group.invalidate()
+        self._watchers_group.invalidate()
         return self.channel.send(self.forwarder.take_commands(), now)
 
     def handle(self, event: Event, now: float) -> list[Command]:
@@ -120,7 +120,7 @@
         """Return when `TimerExpired` is wanted."""
         times = [self._timers.next_timer(), self.channel.next_timer()]
         if not self._stopped:
-            times.append(self._stop_by)
+            times.append(self._stop_deadline)
         return min((time for time in times if time is not None), default=None)
 
     # -- state for adapters and operators ------------------------------------------------------
@@ -138,11 +138,11 @@
     @property
     def ready(self) -> bool:
         """Whether packets may be sent to this node: configured, and not on its way out."""
-        return self.replica.ready and self._stop_by is None
+        return self.replica.ready and self._stop_deadline is None
 
     def ask_in_force(self, revision: int, now: float) -> list[Command]:
         """Begin to find out where a revision is in force; `fleet_status.in_force` tells."""
-        self._configuration_group.touch()
+        self._configuration_group.invalidate()
         return self._finish(self.fleet_status.ask(revision, now), now)
 
     # -- events --------------------------------------------------------------------------------
@@ -154,15 +154,15 @@
             case ControlDatagramReceived(data):
                 return self._control_received(data, now)
             case MachinesListed(live, leaving):
-                self._membership_group.touch()
+                self._membership_group.invalidate()
                 return self.membership.machines_listed(live, leaving, now)
             case BackendChecked():
-                self._watchers_group.touch()
+                self._watchers_group.invalidate()
                 return self.watchers.backend_checked(event, now)
             case StopRequested():
                 return self._begin_stop(now)
             case StoreAnswer():
-                self._configuration_group.touch()
+                self._configuration_group.invalidate()
                 return self.election.handle(event, now)
             case _:
                 raise UnknownEventError(event)
@@ -183,10 +183,10 @@
         return commands
 
     def _begin_stop(self, now: float) -> list[Command]:
-        if self._stop_by is not None:
+        if self._stop_deadline is not None:
             return []
-        self._stop_by = now + self.options.stop_timeout
-        self._timers.touch_all()
+        self._stop_deadline = now + self.options.stop_timeout
+        self._timers.invalidate_all()
         self.forwarder.begin_leave(now)
         return self.membership.leave(now)
 
@@ -195,17 +195,17 @@
     def _finish(self, commands: Sequence[Command], now: float) -> list[Command]:
         """Carry changes of one component to the others, then pace the messages."""
         all_commands = list(commands)
-        all_commands.extend(self._follow_configuration(now))
-        all_commands.extend(self._follow_members(now))
+        all_commands.extend(self._apply_configuration_changes(now))
+        all_commands.extend(self._apply_member_changes(now))
         all_commands.extend(self._complete_stop(now))
         return self.channel.send(all_commands, now)
 
-    def _follow_members(self, now: float) -> list[Command]:
+    def _apply_member_changes(self, now: float) -> list[Command]:
         view = self.membership.view
         if view.version == self._view_version:
             return []
         self._view_version = view.version
-        self._timers.touch_all()
+        self._timers.invalidate_all()
         members = [view.members[node_id] for node_id in sorted(view.members)]
         answering = [member for member in members if member.answers]
         self.replica.update_members(answering, now)
@@ -216,18 +216,18 @@
         self.admission.update_share(1.0 / max(1, homes), homes, now)
         return self.election.update_members(answering, now)
 
-    def _follow_configuration(self, now: float) -> list[Command]:
+    def _apply_configuration_changes(self, now: float) -> list[Command]:
         delta = self._follower.catch_up()
         if delta is not None:
-            self._put_in_force(delta, now)
+            self._apply_configuration_delta(delta, now)
         own = self.membership.view.member(self.options.machine.node_id)
         if self.replica.ready and own is not None and own.state is MemberState.JOINING:
-            self._membership_group.touch()
+            self._membership_group.invalidate()
             return self.membership.become_alive(now)
         return []
 
-    def _put_in_force(self, delta: ConfigurationDelta, now: float) -> None:
-        self._timers.touch_all()
+    def _apply_configuration_delta(self, delta: ConfigurationDelta, now: float) -> None:
+        self._timers.invalidate_all()
         configuration = self._follower.configuration
         if delta.tenants_changed or delta.tenants_removed:
             self.admission.update_contracts(configuration.tenants.values(), now)
@@ -240,13 +240,13 @@
         self.fleet_status.revision_applied(now)
 
     def _complete_stop(self, now: float) -> list[Command]:
-        if self._stop_by is None or self._stopped:
+        if self._stop_deadline is None or self._stopped:
             return []
         complete = self.forwarder.leave_complete
-        if not complete and now < self._stop_by:
+        if not complete and now < self._stop_deadline:
             return []
         self._stopped = True
-        self._timers.touch_all()
+        self._timers.invalidate_all()
         reason = "every flow was handed over" if complete else "the time for a stop is over"
         return [*self.membership.leave_complete(now), StopNode(complete, reason)]
 
--- a/src/beamloom/node/evacuation_follower.py
+++ b/src/beamloom/node/evacuation_follower.py
@@ -69,17 +69,21 @@
         )
         self.since: dict[str, float] = {}
         self.counters: Counter[str] = Counter()
-        self.on_zones: Callable[[frozenset[str], float, Mapping[str, int]], None] = (
+        self.on_zones_changed: Callable[[frozenset[str], float, Mapping[str, int]], None] = (
             lambda zones, now, returns: None
         )
-        self.on_change: Callable[[str, bool, int], None] = lambda zone, evacuated, revision: None
-        self.on_unknown: Callable[[str], None] = lambda zone: None
+        self.on_zone_changed: Callable[[str, bool, int], None] = lambda zone, evacuated, revision: (
+            None
+        )
+        self.on_unknown_zone: Callable[[str], None] = lambda zone: None
         self._kept = KeptWords(self.view, self.apply)
         self._times = times
         self._known_zones = frozenset(known_zones)
         self._confirms_early = mechanisms.early_confirmation
 
-    def share(self, apply: Callable[[EvacuationChanges], None]) -> SharedView[ZoneEvacuation]:
+    def make_shared_view(
+        self, apply: Callable[[EvacuationChanges], None]
+    ) -> SharedView[ZoneEvacuation]:
         """Return the view as peers are told of it; `apply` is called with what they tell."""
         from beamloom.node.view_codecs import EVACUATION_CODEC
         from beamloom.replication.shared_view import SharedView
@@ -104,16 +108,16 @@
         if self.since.keys() != before:
             gone = (change for change in changes if change.record is None)
             returns = {change.name: change.revision for change in gone}
-            self.on_zones(frozenset(self.since), now, returns)
+            self.on_zones_changed(frozenset(self.since), now, returns)
 
     def _apply_one(self, change: ObjectChange[ZoneEvacuation], now: float) -> None:
         zone = change.name
         if change.record is None:
             if self.since.pop(zone, None) is not None:
-                self.on_change(zone, False, change.revision)
+                self.on_zone_changed(zone, False, change.revision)
         elif self._known_zones and zone not in self._known_zones:
             self.counters["unknown_zones"] += 1
-            self.on_unknown(zone)
+            self.on_unknown_zone(zone)
         elif zone not in self.since:
             self.since[zone] = now
-            self.on_change(zone, True, change.revision)
+            self.on_zone_changed(zone, True, change.revision)
--- a/src/beamloom/node/neighbours.py
+++ b/src/beamloom/node/neighbours.py
@@ -84,18 +84,18 @@
 
         A client that still waits for its connection is told that nothing ran, where that is so.
         """
-        to_client = _built(lambda: build_client_reset(packet))
+        to_client = _build_or_none(lambda: build_client_reset(packet))
         if to_client is None and not may_have_run:
             to_client = self.build(packet, 0.0, no_backend=False)
-        return Cancellation(to_client, _built(lambda: build_backend_reset(packet)))
+        return Cancellation(to_client, _build_or_none(lambda: build_backend_reset(packet)))
 
     def build(self, packet: bytes, retry_after: float, no_backend: bool) -> bytes | None:
         """Return the answer to a flow's first packet, or None to stay silent."""
         reason = RefusalReason.NO_BACKEND if no_backend else RefusalReason.PROHIBITED
-        return _built(lambda: build_refusal(packet, retry_after, reason))
+        return _build_or_none(lambda: build_refusal(packet, retry_after, reason))
 
 
-def _built(build: Callable[[], bytes]) -> bytes | None:
+def _build_or_none(build: Callable[[], bytes]) -> bytes | None:
     try:
         return build()
     except RefusalError:
@@ -132,7 +132,7 @@
         self._watchers.observe_answer_time(backend_number, seconds, now)
 
 
-METERING_SECONDS = 0.09
+METERING_INTERVAL_SECONDS = 0.09
 """Least seconds between two looks at the meters of all tenants; limits refill every 0.1 s."""
 
 
@@ -145,12 +145,12 @@
     def __init__(self, admission: TenantAdmission) -> None:
         self._admission = admission
         self._counted: dict[str, int] = {}
-        self._metered_at = -METERING_SECONDS
+        self._metered_at = -METERING_INTERVAL_SECONDS
 
     def poll(self, meters: dict[str, TrafficMeter], now: float) -> list[Command]:
         """Refill the limits and set each meter's `blocked`."""
         commands = self._admission.poll(now)
-        if abs(now - self._metered_at) < METERING_SECONDS:
+        if abs(now - self._metered_at) < METERING_INTERVAL_SECONDS:
             return commands
         self._metered_at = now
         for tenant, meter in meters.items():
--- a/src/beamloom/node/own_limits.py
+++ b/src/beamloom/node/own_limits.py
@@ -27,7 +27,7 @@
 """Of a limit; what is left bears the burst until roles have moved."""
 CLOSE_SHARE = 0.9
 """Of a limit; what is left is for clients' packets alone."""
-BACK_MARGIN = 0.2
+RETURN_MARGIN_SHARE = 0.2
 """Below the share at which a state was entered by so much, it is left."""
 SAMPLES_TO_SHED = 2
 """In a row: a burst of one second, such as a list of all backends, sheds nothing."""
@@ -70,8 +70,8 @@
         self.state = SERVING
         self.counters: Counter[str] = Counter()
         self._on_change = on_change
-        self._above = 0
-        self._below = 0
+        self._samples_above = 0
+        self._samples_below = 0
         self._machine = Machine(
             model=self,
             states=list(STATES),
@@ -85,11 +85,11 @@
         """Take a sample, one each SAMPLE_SECONDS."""
         limit, share = usage.fullest()
         rises, falls = self._direction(share)
-        self._above = self._above + 1 if rises else 0
-        self._below = self._below + 1 if falls else 0
-        if self._above >= SAMPLES_TO_SHED:
+        self._samples_above = self._samples_above + 1 if rises else 0
+        self._samples_below = self._samples_below + 1 if falls else 0
+        if self._samples_above >= SAMPLES_TO_SHED:
             self._fire("exceed", limit, share)
-        elif self._below >= SAMPLES_TO_RETURN:
+        elif self._samples_below >= SAMPLES_TO_RETURN:
             self._fire("recover", limit, share)
 
     def _direction(self, share: float) -> tuple[bool, bool]:
@@ -97,12 +97,12 @@
         if self.state == SERVING:
             return share >= SHED_SHARE, False
         if self.state == ROLES_SHED:
-            return share >= CLOSE_SHARE, share < SHED_SHARE - BACK_MARGIN
-        return False, share < CLOSE_SHARE - BACK_MARGIN
+            return share >= CLOSE_SHARE, share < SHED_SHARE - RETURN_MARGIN_SHARE
+        return False, share < CLOSE_SHARE - RETURN_MARGIN_SHARE
 
     def _fire(self, trigger: str, limit: str, share: float) -> None:
         before = self.state
-        self._above = self._below = 0
+        self._samples_above = self._samples_below = 0
         self.trigger(trigger)  # type: ignore[attr-defined]
         if self.state != before:
             self.counters[f"{self.state}_{limit}"] += 1
--- a/src/beamloom/node/record_orders.py
+++ b/src/beamloom/node/record_orders.py
@@ -11,12 +11,12 @@
 from beamloom.routing.tokens.records import BackendRecord, RoutingConfiguration, ZoneEvacuation
 from beamloom.settings.token_node import DEFAULT_HEARTBEAT_SECONDS
 
-HEARTBEATS_MISSED = 3
+MAX_MISSED_HEARTBEATS = 3
 """An entry that its backend has not repeated for so long goes (the platform's protocol)."""
-NOTICE_SECONDS = 0.5
+ERA_DETECTION_SPREAD_SECONDS = 0.5
 """A node may hear a little sooner than others, or the store, that the era has changed.
 """
-OPERATOR_SECONDS = 2.5
+OPERATOR_REWRITE_SECONDS = 2.5
 """By then operators have written again, as backends have (2 s, the platform's protocol), and a zone
 that is evacuated meanwhile is still left within the shortest bound for that (5 s).
 """
@@ -31,7 +31,9 @@
     keeps_missing = False
 
     def __init__(self, heartbeat_seconds: float = DEFAULT_HEARTBEAT_SECONDS) -> None:
-        self.settle_seconds = HEARTBEATS_MISSED * heartbeat_seconds + NOTICE_SECONDS
+        self.settle_seconds = (
+            MAX_MISSED_HEARTBEATS * heartbeat_seconds + ERA_DETECTION_SPREAD_SECONDS
+        )
 
     def is_older(self, told: BackendRecord, known: BackendRecord) -> bool:
         """Whether a backend has said something newer since, in this life or a later one."""
@@ -64,7 +66,7 @@
 class EvacuationOrder(RecordOrder[ZoneEvacuation]):
     """Evacuations have no marks: what is known holds until operators have written again."""
 
-    settle_seconds = OPERATOR_SECONDS
+    settle_seconds = OPERATOR_REWRITE_SECONDS
     keeps_missing = True
 
     def is_older(self, _told: ZoneEvacuation, _known: ZoneEvacuation) -> bool:
--- a/src/beamloom/node/timers.py
+++ b/src/beamloom/node/timers.py
@@ -30,9 +30,9 @@
 class ComponentGroup:
     """Components that touch one another, and the kinds of messages that they take."""
 
-    def __init__(self, members: Sequence[Component], kinds: range, more_kinds: range) -> None:
+    def __init__(self, members: Sequence[Component], kinds: range, extra_kinds: range) -> None:
         self.members = tuple(members)
-        self._kinds = (kinds, more_kinds)
+        self._kinds = (kinds, extra_kinds)
         self._due: float | None = None
         self._is_stale = True
 
@@ -40,7 +40,7 @@
         """Whether a kind of message belongs to this group; see protocol/messages.py."""
         return any(kind in kinds for kinds in self._kinds)
 
-    def touch(self) -> None:
+    def invalidate(self) -> None:
         """Note that a timer of the group may have changed."""
         self._is_stale = True
 
@@ -66,10 +66,10 @@
         times = [group.due for group in self._groups]
         return min((time for time in times if time is not None), default=None)
 
-    def touch_all(self) -> None:
+    def invalidate_all(self) -> None:
         """Note that any timer may have changed."""
         for group in self._groups:
-            group.touch()
+            group.invalidate()
 
     def poll(self, now: float) -> list[Command]:
         """Let every component do what is due."""
@@ -77,7 +77,7 @@
         for group in self._groups:
             if group.due is None or group.due > now:
                 continue
-            group.touch()
+            group.invalidate()
             for component in group.members:
                 due = component.next_timer()
                 if due is not None and due <= now:
@@ -89,7 +89,7 @@
         group = self._group_of(message.KIND)
         if group is None:
             return []
-        group.touch()
+        group.invalidate()
         commands: list[Command] = []
         for component in group.members:
             commands.extend(component.handle_message(sender, message, now))
--- a/src/beamloom/node/token_core.py
+++ b/src/beamloom/node/token_core.py
@@ -1,8 +1,8 @@
-"""The decision core of a token node: router, views of the store, reader's duty, exchange.
+"""The decision core of a token node: router, store views, reader election, view exchange.
 
-Without I/O. What drives it (asyncio on sockets, or the simulator) asks the store as `turns` say,
-hands the answers to the watches and what they changed to `take_*`, and sends what `take_sends`
-returns.
+It performs no I/O. Its driver (asyncio on sockets, or the simulator) calls the store when the
+`*_turn` objects say so, passes answers to the `*_watch` objects and the resulting changes to
+`take_*`, and sends the messages that `take_sends` returns.
 """
 
 from __future__ import annotations
@@ -39,28 +39,36 @@
     from beamloom.replication.view_exchange import ViewExchange
     from beamloom.replication.view_pulls import SendToHost
 
-LONGEST_STALL_SECONDS = 1.0
-"""A process that stood still for so long cannot tell how old what it reads now is."""
-LONGEST_DOUBT_SECONDS = 2.0
-"""Longer than the store or a peer takes to confirm a view, where either can."""
-MOST_FAULTS_TOLD = 20
-"""Log lines of one configuration; all faults are counted, and one operator error makes many."""
+STALL_THRESHOLD_SECONDS = 1.0
+"""Gap between calls of `advance` above which the process counts as stalled.
+
+The age of packets and messages that are read after a stall is unknown.
+"""
+CONFIRMATION_TIMEOUT_SECONDS = 2.0
+"""Without a confirmation of its views for this long, a node refuses flows by what it has.
+
+Longer than a reachable store or peer takes to confirm a view.
+"""
+MAX_FAULTY_ROUTES_LOGGED = 20
+"""Routes with unreadable terms that are logged per configuration; the counter counts all terms."""
 LATE_SECONDS = 0.4
-"""`advance` is called four times a second; a node that lags cannot tell who is silent."""
+"""Gap between calls of `advance` above which this node reports no backend as silent or overdue."""
 
 ANSWER_SHARES = {"serving": 1.0, "roles_shed": 0.25, "closed_to_peers": 0.0}
-"""By state of `node/own_limits.py`, which is not imported at a start: the part of the usual answers
-to peers that a node gives.
+"""Share of the usual answer bytes to peers, by state of `node/own_limits.py`.
+
+The states are literals so that a start does not import that module.
 """
 
 
 class TokenCore:
-    """One node. `configuration_name` is the object that holds the configuration in force.
+    """One token node. `configuration_name` is the store object that holds the configuration.
 
-    Evacuations are followed where `evacuation_times` are given; `known_zones` are those of the
-    deployment. Cold backends are limited where `cold_starts` are given. `capacity` is what the
-    machine can do, as peers are told. Backends write to the store each `heartbeat_seconds`. A node
-    that `is_seed` is asked first by those who start.
+    Zone evacuations are followed only with `evacuation_times`; `known_zones` are the zones of the
+    deployment. New flows to cold backends are limited only with `cold_starts`. `capacity` is the
+    machine's, as announced to peers. `heartbeat_seconds` is the interval at which backends rewrite
+    their store entries. With `is_seed`, the node lists evacuations from the store at its start
+    instead of waiting for its peers.
     """
 
     def __init__(
@@ -92,13 +100,13 @@
         )
         self.router.may_refuse = False
         self.router.backends.use_services(frozenset(), 0.0)
-        self._judge = BackendJudge(self.router, observer, mechanisms)
-        self.checks = self._judge.checks
+        self._failure_handler = BackendJudge(self.router, observer, mechanisms)
+        self.checks = self._failure_handler.checks
         self.duty = ReaderDuty(reader_id, chance, times, mechanisms)
         self.backends: StoreView[BackendRecord] = StoreView(BackendOrder(heartbeat_seconds))
         self.configuration: StoreView[RoutingConfiguration] = StoreView(ConfigurationOrder())
-        # Not stale: after an outage of the store backends come back one by one, and a list that is
-        # seconds old sends all flows to the first of them.
+        # Never starts from a stale list: after a store outage backends register again one by one,
+        # and the few on an old list would get all flows.
         self.backend_watch = ObjectWatch(self.backends, chance)
         self.configuration_watch = ObjectWatch(
             self.configuration, chance, stale_start=mechanisms.stale_start
@@ -116,12 +124,12 @@
                 is_seed=is_seed,
                 mechanisms=mechanisms,
             )
-            self.evacuations.on_zones = self.router.backends.evacuate
-            self.evacuations.on_change = observer.evacuation
-            self.evacuations.on_unknown = observer.evacuation_of_unknown_zone
+            self.evacuations.on_zones_changed = self.router.backends.evacuate
+            self.evacuations.on_zone_changed = observer.evacuation
+            self.evacuations.on_unknown_zone = observer.evacuation_of_unknown_zone
         self.exchange: ViewExchange | None = None
-        self._versions = ConfigurationHistory()
-        self._kept_backends = KeptWords(self.backends, self._settle_backends)
+        self._configuration_history = ConfigurationHistory()
+        self._kept_backends = KeptWords(self.backends, self._apply_settled_backends)
         self.catch_up_seconds = LatencyHistogram()
         self.on_progress: Callable[[], None] = lambda: None
         self._configuration_name = configuration_name
@@ -129,16 +137,16 @@
         self._chance = chance
         self._zone = zone
         self._capacity = capacity
-        self._share: FleetShare | None = None
+        self._cold_start_share: FleetShare | None = None
         self._now = 0.0
         self._advanced_at = float("inf")
-        self._untaken_stall = False
-        self._took_stall = False
-        self._doubts_until = float("inf")
+        self._stall_pending = False
+        self._stall_taken = False
+        self._confirmation_deadline = float("inf")
 
     @property
     def complete(self) -> bool:
-        """Whether all that is needed to serve has been read."""
+        """Whether backends, a configuration and the token key are present, as serving requires."""
         return (
             self.backends.revision is not None
             and self.router.routes.version >= 0
@@ -146,15 +154,16 @@
         )
 
     def use_key(self, secret: bytes, *former: bytes) -> None:
-        """Mint tokens with the fleet's secret, and verify those of former ones too, from now on."""
+        """Mint tokens with `secret`; verify tokens of `secret` and of the `former` secrets."""
         binds_flows = self._mechanisms.flow_bound_tokens
         self.router.codec = TokenCodec(secret, *former, binds_flows=binds_flows)
         self.on_progress()
 
     def join_peers(self, host: str, seeds: tuple[str, ...]) -> None:
-        """Exchange views with other nodes from now on.
+        """Start to exchange views with other nodes.
 
-        Its modules are imported only here: a node is ready to serve before it meets its peers.
+        The modules are imported here to keep them out of a start: a node serves before it has
+        peers.
         """
         from beamloom.node.view_codecs import BACKEND_CODEC, ConfigurationCodec
         from beamloom.replication.fleet_share import FleetShare
@@ -174,7 +183,8 @@
             SharedView(
                 self.configuration,
                 ConfigurationCodec(
-                    self._versions, tells_differences=self._mechanisms.configuration_differences
+                    self._configuration_history,
+                    sends_differences=self._mechanisms.configuration_differences,
                 ),
                 partial(self._apply_configuration, source=FROM_PEER),
                 late_seconds=late_seconds,
@@ -182,49 +192,49 @@
             ),
         ]
         if self.evacuations is not None:
-            views.append(self.evacuations.share(self._apply_evacuations))
+            views.append(self.evacuations.make_shared_view(self._apply_evacuations))
         peers = PeerTable(host, seeds, self._chance, self._zone, self._capacity)
         by_capacity = self._mechanisms.capacity_roles
         self.exchange = ViewExchange(views, peers, self.duty, self._chance, by_capacity=by_capacity)
         self.exchange.on_unusable_capacity = self._observer.unusable_capacity
-        self._judge.join(self.exchange)
+        self._failure_handler.join(self.exchange)
         if self._cold_starts is not None:
-            self._share = FleetShare(
+            self._cold_start_share = FleetShare(
                 peers, SENDERS_OF_A_BACKEND, self._now, by_capacity=by_capacity
             )
-            self._cold_starts.is_sender = self._share.holds
+            self._cold_starts.is_sender = self._cold_start_share.holds
         self.exchange.pulls.catch_up_seconds = self.catch_up_seconds
 
     def has_stalled(self, now: float) -> bool:
-        """Whether the process stood still until now: `advance` has not been called for long."""
-        return now - self._advanced_at > LONGEST_STALL_SECONDS
+        """Whether the last call of `advance` is longer ago than STALL_THRESHOLD_SECONDS."""
+        return now - self._advanced_at > STALL_THRESHOLD_SECONDS
 
     def take_stall(self, now: float) -> bool:
-        """Return once whether the process stood still before the packets that are read next.
+        """Return whether the packets that are read next arrived during a stall.
 
-        A loop that wakes from a stall may run its timers, and with them `advance`, first: a wait
-        that a signal interrupted after its time was over tells of no packets.
+        After a stall the event loop may run timers, and with them `advance`, before it reads the
+        packets, for example when a signal interrupted its wait. Such a stall is returned once.
         """
         before_timers = self.has_stalled(now)
-        after_timers, self._untaken_stall = self._untaken_stall, False
-        self._took_stall = self._took_stall or before_timers
+        after_timers, self._stall_pending = self._stall_pending, False
+        self._stall_taken = self._stall_taken or before_timers
         return before_timers or after_timers
 
     def advance(self, now: float) -> None:
-        """Let time pass; to be called a few times a second."""
+        """Run whatever is due; to be called a few times a second."""
         stalled = self.has_stalled(now)
         if stalled:
             self._observer.stalled(now - self._advanced_at)
-            self._forget_confirmations()
-        self._untaken_stall = stalled and not self._took_stall
-        self._took_stall = False
+            self._invalidate_confirmations()
+        self._stall_pending = stalled and not self._stall_taken
+        self._stall_taken = False
         is_late = now - self._advanced_at > LATE_SECONDS
         self._advanced_at = self._now = now
-        self._judge_refusals(now)
+        self._update_may_refuse(now)
         self._kept_backends.advance(now)
         if self.evacuations is not None:
             self.evacuations.advance(now)
-        self._judge.advance(now, is_late=is_late)
+        self._failure_handler.advance(now, is_late=is_late)
         self.router.advance(now)
         self.duty.peer_count = 0 if self.exchange is None else len(self.exchange.peers)
         if self.duty.advance(now, joined=self.exchange is not None):
@@ -233,46 +243,49 @@
             self.exchange.advance(now)
 
     def handle_message(self, host: str, message: Message, now: float) -> None:
-        """Take a message of the node at a host; raises TypeError or ValueError if it is odd."""
+        """Handle a message from the node at `host`; a malformed one raises TypeError or ValueError.
+
+        Messages are ignored before `join_peers`.
+        """
         self._now = now
         if self.exchange is not None:
             self.exchange.handle(host, message, now)
-            self._judge_refusals(now)
+            self._update_may_refuse(now)
 
     def take_sends(self) -> list[SendToHost]:
-        """Return the messages that are to be sent now, once."""
+        """Return and clear the messages to be sent to peers."""
         return [] if self.exchange is None else self.exchange.take_sends()
 
     def use_limits(self, state: str, before: str, limit: str, share: float) -> None:
-        """Give up roles, or take them up again, as a state of `node/own_limits.py` says."""
+        """Shed or resume roles on a change of state in `node/own_limits.py`."""
         self._observer.own_limits(state, before, limit, share)
         if not self._mechanisms.capacity_roles:
             return
         answers = ANSWER_SHARES[state]
         self.duty.sheds = answers < 1.0
-        if self._share is not None:
-            self._share.sheds = answers < 1.0
+        if self._cold_start_share is not None:
+            self._cold_start_share.sheds = answers < 1.0
         if self.exchange is not None:
             self.exchange.use_limits(answers)
 
     def ask_to_stop(self, now: float) -> None:
-        """Note that this node was asked to stop."""
+        """Wait for a turn to stop, and announce that to the nodes of this zone."""
         if self.exchange is not None:
             self.exchange.ask_to_stop(now)
 
     def may_go_away(self, now: float) -> bool:
-        """Return whether it is this node's turn to stop; a node without peers always may."""
+        """Return whether this node may stop now; True without an exchange or turns to stop."""
         if self.exchange is None or not self._mechanisms.stop_turns:
             return True
         return self.exchange.may_go_away(now)
 
     def go_away(self, now: float) -> None:
-        """Note that routers are to turn away from this node."""
+        """Announce to the nodes of this zone that routers are to avoid this node."""
         if self.exchange is not None:
             self.exchange.go_away(now)
 
     def take_backends(self, changes: tuple[ObjectChange[BackendRecord], ...], now: float) -> None:
-        """Take what an answer of the store changed, and tell peers how far the view is."""
+        """Apply the changes of a store answer and announce the view's revision to peers."""
         self._now = now
         self._apply_backends(changes, FROM_STORE)
         self._note_answer(now)
@@ -280,13 +293,13 @@
     def take_configuration(
         self, changes: tuple[ObjectChange[RoutingConfiguration], ...], now: float
     ) -> None:
-        """Take what an answer of the store changed, and tell peers how far the view is."""
+        """Apply the changes of a store answer and announce the view's revision to peers."""
         self._now = now
         self._apply_configuration(changes, FROM_STORE)
         self._note_answer(now)
 
     def take_evacuations(self, changes: EvacuationChanges, now: float) -> None:
-        """Take what an answer of the store changed, and tell peers how far the view is."""
+        """Apply the changes of a store answer and announce the view's revision to peers."""
         self._now = now
         self._apply_evacuations(changes)
         self._note_answer(now)
@@ -296,37 +309,37 @@
             self.evacuations.apply(changes, self._now)
 
     def _note_answer(self, now: float) -> None:
-        self._judge_refusals(now)
+        self._update_may_refuse(now)
         self.duty.note_answer(now)
         if self.exchange is not None:
             self.exchange.announce(now)
 
-    def _judge_refusals(self, now: float) -> None:
-        """Refuse by confirmed views only, or where no confirmation came for LONGEST_DOUBT_SECONDS.
+    def _update_may_refuse(self, now: float) -> None:
+        """Allow refusals once the views are confirmed or CONFIRMATION_TIMEOUT_SECONDS have passed.
 
-        A node that has just started, or stood still, knows what was; clients send copies of their
-        opening packets meanwhile.
+        After a start or a stall the views may be out of date. Until then the router drops what it
+        would refuse, and the client's retransmission is decided anew.
         """
         if not self._mechanisms.confirmed_refusals:
             self.router.may_refuse = True
             return
         views = (self.backends, self.configuration)
         if all(view.confirmed_at is not None for view in views):
-            self._doubts_until = float("inf")
+            self._confirmation_deadline = float("inf")
             self.router.may_refuse = True
             return
-        if self._doubts_until == float("inf") and self.complete:
-            self._doubts_until = now + LONGEST_DOUBT_SECONDS
-        self.router.may_refuse = now >= self._doubts_until
+        if self._confirmation_deadline == float("inf") and self.complete:
+            self._confirmation_deadline = now + CONFIRMATION_TIMEOUT_SECONDS
+        self.router.may_refuse = now >= self._confirmation_deadline
 
-    def _forget_confirmations(self) -> None:
-        """Ask the store itself: what peers sent meanwhile looks newer than it is."""
+    def _invalidate_confirmations(self) -> None:
+        """Require new answers of the store: data of peers that is read after a stall may be old."""
         self.backend_turn.distrust()
         self.configuration_turn.distrust()
         if self.evacuations is not None:
             self.evacuations.turn.distrust()
 
-    def _settle_backends(
+    def _apply_settled_backends(
         self, changes: tuple[ObjectChange[BackendRecord], ...], now: float
     ) -> None:
         self._now = now
@@ -341,10 +354,10 @@
                 if gone is not None:
                     service = gone.record.service
                     self._observer.backend_gone(change.name, service, change.revision, source)
-                    self._judge.note_gone(gone, self._now)
+                    self._failure_handler.note_gone(gone, self._now)
             elif self.router.backends.update(change.record, change.revision, self._now):
                 self._observer.backend_changed(change.record, change.revision, source)
-                self._judge.note_listed(change.name, self._now)
+                self._failure_handler.note_listed(change.name, self._now)
         self.on_progress()
 
     def _apply_configuration(
@@ -354,8 +367,9 @@
             if change.record is None or change.name != self._configuration_name:
                 continue
             if change.record.tells_terms:
-                # As a base for differences, a version without its terms would keep them lost.
-                self._versions.note(change.record)
+                # A version that came without the routes' terms is no base for differences: what
+                # is derived from it would lack the terms as well.
+                self._configuration_history.note(change.record)
             before = self.router.routes.version
             if self.router.put_in_force(change.record):
                 self.router.backends.use_services(change.record.services, self._now)
@@ -363,14 +377,14 @@
                     self._cold_starts.use_rates(change.record.warm_ups)
                 version, routes = change.record.version, len(change.record.routes)
                 self._observer.configuration(version, before, routes, source)
-                self._tell_unreadable_terms(change.record)
+                self._report_unreadable_terms(change.record)
         self.on_progress()
 
-    def _tell_unreadable_terms(self, record: RoutingConfiguration) -> None:
-        """Count the terms for which a default is used, and tell of the first routes."""
+    def _report_unreadable_terms(self, record: RoutingConfiguration) -> None:
+        """Count the terms that are replaced by defaults, and report the first such routes."""
         faulty = [route for route in record.routes if route.terms.unreadable]
         count = sum(len(route.terms.unreadable) for route in faulty)
         if count:
             self.router.counters["terms_unreadable"] += count
-        for route in faulty[:MOST_FAULTS_TOLD]:
+        for route in faulty[:MAX_FAULTY_ROUTES_LOGGED]:
             self._observer.terms_unreadable(route.name, record.version, route.terms.unreadable)
--- a/src/beamloom/node/view_codecs.py
+++ b/src/beamloom/node/view_codecs.py
@@ -44,15 +44,15 @@
 
 LENGTH_WITH_DIFFERENCE = 4
 """Fields of a change that carries a difference in place of a record."""
-NO_START = (0, 0)
+UNKNOWN_START = (0, 0)
 """When a backend started, and its sequence, where an earlier release tells neither."""
-PLAIN_ROUTE_LENGTH = 3
+ROUTE_LENGTH_WITHOUT_TERMS = 3
 """Fields of a route whose terms are all defaults; they follow where they are not."""
-READABLE_TERMS_LENGTH = 4
+TERMS_LENGTH_WITHOUT_UNREADABLE = 4
 """Fields of terms that could all be read; the names of the others follow."""
 REQUEST_KINDS = (RequestKind.UNSAFE, RequestKind.SAFE, RequestKind.DOWNLOAD)
 """By the number that stands for each between nodes; new ones are added at the end."""
-BASES_NAMED = 8
+MAX_BASES = 8
 """In a storm nodes skip versions, and not the same ones."""
 
 
@@ -101,8 +101,8 @@
     they are worth, all is told whole.
     """
 
-    def __init__(self, history: ConfigurationHistory, *, tells_differences: bool = True) -> None:
-        self._tells_differences = tells_differences
+    def __init__(self, history: ConfigurationHistory, *, sends_differences: bool = True) -> None:
+        self._sends_differences = sends_differences
         super().__init__(configuration_to_list, configuration_from_list)
         self._history = history
         self._encoded: tuple[tuple[int, int, int], list[Any]] = ((NEVER, NEVER, NEVER), [])
@@ -110,11 +110,11 @@
     @property
     def bases(self) -> list[int]:
         """The last versions that this node holds, the newest first."""
-        return self._history.newest_versions(BASES_NAMED)
+        return self._history.newest_versions(MAX_BASES)
 
     def choose_base(self, bases: Sequence[int]) -> int:
         """Return the newest of a peer's versions that this node holds as well."""
-        if not self._tells_differences:
+        if not self._sends_differences:
             return NEVER
         return next((base for base in bases if self._history.find(base) is not None), NEVER)
 
@@ -167,7 +167,7 @@
 def backend_from_list(fields: list[Any]) -> BackendRecord:
     """Return the backend of these fields."""
     name, identity, service, host, port, zone, slots, state, warm_up, *others = fields
-    born_at, sequence = others[:2] or NO_START
+    born_at, sequence = others[:2] or UNKNOWN_START
     return BackendRecord(
         name,
         identity,
@@ -195,7 +195,9 @@
     version, routes, idle_seconds = fields[:3]
     records = tuple(map(_route_from_list, routes))
     warm_ups = _warm_ups_from(fields[3:4])
-    return RoutingConfiguration(version, records, idle_seconds, warm_ups, _tells_terms(fields, 4))
+    return RoutingConfiguration(
+        version, records, idle_seconds, warm_ups, _includes_terms(fields, 4)
+    )
 
 
 def difference_to_list(difference: ConfigurationDifference) -> list[Any]:
@@ -217,7 +219,7 @@
     routes = tuple(map(_route_from_list, changed))
     warm_ups = _warm_ups_from(fields[4:5])
     return ConfigurationDifference(
-        version, idle_seconds, routes, tuple(removed), warm_ups, _tells_terms(fields, 5)
+        version, idle_seconds, routes, tuple(removed), warm_ups, _includes_terms(fields, 5)
     )
 
 
@@ -226,7 +228,7 @@
     return tuple(ServiceWarmUp(*fields[:3]) for fields in (field[0] if field else ()))
 
 
-def _tells_terms(fields: list[Any], position: int) -> bool:
+def _includes_terms(fields: list[Any], position: int) -> bool:
     """Return whether whoever sent a configuration knows terms; earlier versions do not say it."""
     return len(fields) > position and fields[position] is True
 
@@ -241,7 +243,9 @@
 
 def _route_from_list(fields: list[Any]) -> RouteRecord:
     name, destination, parts = fields[:3]
-    terms = _terms_from_list(fields[3]) if len(fields) > PLAIN_ROUTE_LENGTH else DEFAULT_TERMS
+    terms = (
+        _terms_from_list(fields[3]) if len(fields) > ROUTE_LENGTH_WITHOUT_TERMS else DEFAULT_TERMS
+    )
     return RouteRecord(name, destination, tuple(RoutePart(*part[:2]) for part in parts), terms)
 
 
@@ -260,7 +264,7 @@
     """Return the terms of these fields; a kind that a later version added counts as UNSAFE."""
     objective, timeout, priority, kind = fields[:4]
     known = REQUEST_KINDS[kind] if 0 <= kind < len(REQUEST_KINDS) else RequestKind.UNSAFE
-    unreadable = tuple(map(str, fields[4])) if len(fields) > READABLE_TERMS_LENGTH else ()
+    unreadable = tuple(map(str, fields[4])) if len(fields) > TERMS_LENGTH_WITHOUT_UNREADABLE else ()
     return RouteTerms(_seconds(objective), _seconds(timeout), int(priority), known, unreadable)
 
 
--- a/tests/unit/tokens/test_evacuation.py
+++ b/tests/unit/tokens/test_evacuation.py
@@ -91,7 +91,7 @@
     def setUp(self) -> None:
         self.follower = make_follower(known_zones=("west", "east"))
         self.zones: list[set[str]] = []
-        self.follower.on_zones = lambda zones, now, returns: self.zones.append(set(zones))
+        self.follower.on_zones_changed = lambda zones, now, returns: self.zones.append(set(zones))
 
     def test_it_holds_until_it_is_removed(self) -> None:
         self.follower.apply((evacuation("west"),), START)
@@ -102,14 +102,14 @@
 
     def test_it_is_told_at_which_revision_a_zone_was_taken_back(self) -> None:
         returns: list[Mapping[str, int]] = []
-        self.follower.on_zones = lambda zones, now, told: returns.append(told)
+        self.follower.on_zones_changed = lambda zones, now, told: returns.append(told)
         self.follower.apply((evacuation("west"),), START)
         self.follower.apply((taken_back("west"),), START + 2.0)
         self.assertEqual(returns, [{}, {"west": taken_back("west").revision}])
 
     def test_a_zone_that_is_not_known_changes_nothing(self) -> None:
         unknown: list[str] = []
-        self.follower.on_unknown = unknown.append
+        self.follower.on_unknown_zone = unknown.append
         self.follower.apply((evacuation("nowhere"),), START)
         self.assertEqual((self.zones, unknown), ([], ["nowhere"]))
         self.assertEqual(self.follower.counters["unknown_zones"], 1)
--- a/tests/unit/tokens/test_token_core.py
+++ b/tests/unit/tokens/test_token_core.py
@@ -1,13 +1,13 @@
-"""What a node does by what it knows, and by how sure it is of it."""
+"""The decision core of a token node: stalls, refusals by unconfirmed views, silent backends."""
 
 import random
 import unittest
 
-from beamloom.node.backend_judge import SUSPECT_BY_PEERS_SECONDS
+from beamloom.node.backend_judge import PEER_SUSPICION_SECONDS
 from beamloom.node.token_core import (
+    CONFIRMATION_TIMEOUT_SECONDS,
     LATE_SECONDS,
-    LONGEST_DOUBT_SECONDS,
-    LONGEST_STALL_SECONDS,
+    STALL_THRESHOLD_SECONDS,
     TokenCore,
 )
 from beamloom.protocol.view_messages import ViewDigest
@@ -39,31 +39,31 @@
 
 
 class StallTest(unittest.TestCase):
-    """Found by a functional test that failed once: timers may run before the packets are read."""
+    """After a stall, timers may run before the waiting packets are read."""
 
     def setUp(self) -> None:
         self.core = new_core()
         self.core.advance(START)
 
-    def test_a_stall_is_taken_once_by_packets_that_are_read_first(self) -> None:
-        woken = START + LONGEST_STALL_SECONDS + 0.5
-        self.assertTrue(self.core.take_stall(woken))
-        self.core.advance(woken)
-        self.assertFalse(self.core.take_stall(woken))
-
-    def test_a_stall_is_taken_by_packets_that_are_read_after_a_timer(self) -> None:
-        woken = START + LONGEST_STALL_SECONDS + 0.5
-        self.core.advance(woken)
-        self.assertTrue(self.core.take_stall(woken))
-        self.assertFalse(self.core.take_stall(woken))
-
-    def test_packets_that_come_later_have_not_waited(self) -> None:
-        woken = START + LONGEST_STALL_SECONDS + 0.5
-        self.core.advance(woken)
-        self.core.advance(woken + 0.25)
-        self.assertFalse(self.core.take_stall(woken + 0.3))
-
-    def test_a_node_that_runs_has_not_stalled(self) -> None:
+    def test_stall_is_returned_when_packets_are_read_before_timers(self) -> None:
+        resumed_at = START + STALL_THRESHOLD_SECONDS + 0.5
+        self.assertTrue(self.core.take_stall(resumed_at))
+        self.core.advance(resumed_at)
+        self.assertFalse(self.core.take_stall(resumed_at))
+
+    def test_stall_is_returned_once_when_packets_are_read_after_timers(self) -> None:
+        resumed_at = START + STALL_THRESHOLD_SECONDS + 0.5
+        self.core.advance(resumed_at)
+        self.assertTrue(self.core.take_stall(resumed_at))
+        self.assertFalse(self.core.take_stall(resumed_at))
+
+    def test_stall_is_over_for_packets_after_the_next_tick(self) -> None:
+        resumed_at = START + STALL_THRESHOLD_SECONDS + 0.5
+        self.core.advance(resumed_at)
+        self.core.advance(resumed_at + 0.25)
+        self.assertFalse(self.core.take_stall(resumed_at + 0.3))
+
+    def test_regular_ticks_are_no_stall(self) -> None:
         self.core.advance(START + 0.25)
         self.assertFalse(self.core.take_stall(START + 0.3))
 
@@ -96,8 +96,8 @@
 
 
 class StartTest(unittest.TestCase):
-    def test_backends_are_never_read_from_a_stale_list(self) -> None:
-        """Found by comparing days: after an outage such a list holds a few backends only."""
+    def test_first_list_of_backends_is_not_stale(self) -> None:
+        """After a store outage a stale list may hold only a few of the backends."""
         times, observer = reading_times(), QuietObserver()
         core = TokenCore(ZONE, "5-node", "main", observer, chance=random.Random(1), times=times)
         self.assertEqual(core.backend_watch.next_request(), ListRequest(""))
@@ -105,17 +105,17 @@
 
 
 class RefusalsTest(CoreCase):
-    def assert_dropped_in_doubt(self, command: RouterCommand) -> None:
+    def assert_dropped_unconfirmed(self, command: RouterCommand) -> None:
         assert isinstance(command, DropPacket), command
         self.assertIs(command.reason, DropReason.UNCONFIRMED_VIEW)
 
-    def test_by_a_stale_list_alone_nothing_is_refused(self) -> None:
-        """Found on a day that ended with the store down and all machines without power."""
+    def test_nothing_is_refused_by_a_stale_list_alone(self) -> None:
+        """What a stale list lacks may exist: openings are dropped and not reset."""
         self.assertTrue(self.core.complete)
-        self.assert_dropped_in_doubt(self.open_flow(START))
-        self.assert_dropped_in_doubt(self.open_flow(START, OTHER_DESTINATION))
+        self.assert_dropped_unconfirmed(self.open_flow(START))
+        self.assert_dropped_unconfirmed(self.open_flow(START, OTHER_DESTINATION))
 
-    def test_by_confirmed_views_refusals_go_out_at_once(self) -> None:
+    def test_confirmed_views_refuse_at_once(self) -> None:
         self.confirm(START + 0.2)
         command = self.open_flow(START + 0.2)
         assert isinstance(command, ResetFlow)
@@ -124,21 +124,21 @@
         assert isinstance(command, ResetFlow)
         self.assertIs(command.reason, RefusalReason.NO_ROUTE)
 
-    def test_a_doubt_does_not_last(self) -> None:
+    def test_flows_are_refused_after_the_confirmation_timeout(self) -> None:
         self.core.advance(START + 0.1)
-        self.assert_dropped_in_doubt(self.open_flow(START + 0.2))
-        self.core.advance(START + 0.1 + LONGEST_DOUBT_SECONDS)
+        self.assert_dropped_unconfirmed(self.open_flow(START + 0.2))
+        self.core.advance(START + 0.1 + CONFIRMATION_TIMEOUT_SECONDS)
         self.assertIsInstance(self.open_flow(START + 2.2), ResetFlow)
 
-    def test_what_is_known_is_served_meanwhile(self) -> None:
+    def test_known_backends_are_used_before_confirmation(self) -> None:
         self.list_backends(backend(7))
         self.assertIsInstance(self.open_flow(START), ForwardPacket)
 
-    def test_a_node_that_stood_still_doubts_again(self) -> None:
+    def test_stall_requires_a_new_confirmation(self) -> None:
         self.confirm(START + 0.2)
         self.core.advance(START + 0.3)
         self.core.advance(START + 8.0)
-        self.assert_dropped_in_doubt(self.open_flow(START + 8.0))
+        self.assert_dropped_unconfirmed(self.open_flow(START + 8.0))
 
 
 class SilentBackendsTest(CoreCase):
@@ -162,29 +162,29 @@
             found.add(command.identity)
         return found
 
-    def test_a_backend_that_two_other_nodes_found_silent_is_passed_over(self) -> None:
+    def test_backend_reported_silent_by_two_nodes_is_excluded(self) -> None:
         self.core.handle_message("10.0.0.2", self.digest("a", "b"), START + 1.0)
         self.assertEqual(self.identities(START + 1.1), set(SOME) - {7})
-        later = START + 1.0 + SUSPECT_BY_PEERS_SECONDS
+        later = START + 1.0 + PEER_SUSPICION_SECONDS
         self.assertIn(7, self.identities(later + 0.1))
 
-    def test_one_node_is_not_enough(self) -> None:
+    def test_report_of_one_node_excludes_nothing(self) -> None:
         self.core.handle_message("10.0.0.2", self.digest("a"), START + 1.0)
         self.assertEqual(self.identities(START + 1.1), set(SOME))
 
-    def test_what_has_answered_here_since_is_not_passed_over(self) -> None:
+    def test_backend_that_answered_since_is_not_excluded(self) -> None:
         record = self.core.router.backends.of_service("tracker")[0]
         record.answered_at = START + 2.0
         self.core.handle_message("10.0.0.2", self.digest("a", "b"), START + 1.0)
         self.assertEqual(self.identities(START + 1.1), set(SOME))
 
-    def test_never_more_than_a_third_of_a_service(self) -> None:
-        """Found on a grown site: reports of slow nodes left a few backends to take all flows."""
+    def test_at_most_a_third_of_a_service_is_excluded(self) -> None:
+        """False reports must not concentrate all flows on a few backends."""
         entries = [(backend(number).name, who, 0) for number in SOME for who in "ab"]
         self.core.handle_message("10.0.0.2", ViewDigest([], [], [], "", entries), START + 1.0)
         self.assertEqual(len(self.identities(START + 1.1)), 4)
 
-    def test_a_node_that_lags_blames_nobody(self) -> None:
+    def test_late_node_reports_no_silent_backend(self) -> None:
         self.core.handle_message("10.0.0.2", ViewDigest([], [], []), START + 1.0)
         self.core.advance(START + 1.0)
         self.core.router.handle(opening(1), START + 1.0)
@@ -192,7 +192,7 @@
         told = [send.message for send in self.core.take_sends()]
         self.assertEqual([m.silent for m in told if isinstance(m, ViewDigest) and m.silent], [])
 
-    def test_an_opening_without_an_answer_is_told_to_others(self) -> None:
+    def test_unanswered_opening_is_reported_to_peers(self) -> None:
         self.core.handle_message("10.0.0.2", ViewDigest([], [], []), START + 1.0)
         self.core.take_sends()
         self.core.advance(START + 1.0)
