--- a/src/beamloom/node/evacuation_follower.py
+++ b/src/beamloom/node/evacuation_follower.py
@@ -35,14 +35,14 @@
 
     `since` is when this node learned of each, in seconds of the monotonic clock. `on_zones_changed`
     is called with all evacuated zones, the time, and for zones no longer evacuated the revision at
-    which that changed (a later one if it was seen in a list). `on_zone_changed` is called for each
-    zone with whether it is evacuated now, and the revision. Evacuations outside `known_zones` are
-    counted and ignored; if `known_zones` is empty, every zone is accepted. While the calls of
+    which that changed (a later one if it was seen in a list). `on_change` is called for each change
+    of a zone with whether it is evacuated now, and the revision. Evacuations outside `known_zones`
+    are counted and ignored; if `known_zones` is empty, every zone is accepted. While the calls of
     `leader`, the watch of another kind, fail, only readers call the store.
 
-    With `is_seed` the node requests a list at once, and not a stale one, which is not passed on to
-    peers: starting nodes ask the seeds first, and after a start of the whole fleet no other node
-    would know of an evacuation until readers are elected.
+    With `is_seed` the first list is requested at once and must not be stale, as stale lists are not
+    passed on to peers. Starting nodes ask the seeds first, and after a start of the whole fleet no
+    other node would know of an evacuation until readers are elected.
     """
 
     def __init__(
@@ -70,11 +70,9 @@
         self.since: dict[str, float] = {}
         self.counters: Counter[str] = Counter()
         self.on_zones_changed: Callable[[frozenset[str], float, Mapping[str, int]], None] = (
-            lambda zones, now, returns: None
-        )
-        self.on_zone_changed: Callable[[str, bool, int], None] = lambda zone, evacuated, revision: (
-            None
+            lambda zones, now, end_revisions: None
         )
+        self.on_change: Callable[[str, bool, int], None] = lambda zone, evacuated, revision: None
         self.on_unknown_zone: Callable[[str], None] = lambda zone: None
         self._kept = KeptWords(self.view, self.apply)
         self._times = times
@@ -97,7 +95,7 @@
         )
 
     def advance(self, now: float) -> None:
-        """Drop what a restored store lacks and operators did not write again in time."""
+        """Adopt a restored store's state once operators have had time to write again."""
         self._kept.advance(now)
 
     def apply(self, changes: EvacuationChanges, now: float) -> None:
@@ -107,17 +105,17 @@
             self._apply_one(change, now)
         if self.since.keys() != before:
             gone = (change for change in changes if change.record is None)
-            returns = {change.name: change.revision for change in gone}
-            self.on_zones_changed(frozenset(self.since), now, returns)
+            end_revisions = {change.name: change.revision for change in gone}
+            self.on_zones_changed(frozenset(self.since), now, end_revisions)
 
     def _apply_one(self, change: ObjectChange[ZoneEvacuation], now: float) -> None:
         zone = change.name
         if change.record is None:
             if self.since.pop(zone, None) is not None:
-                self.on_zone_changed(zone, False, change.revision)
+                self.on_change(zone, False, change.revision)
         elif self._known_zones and zone not in self._known_zones:
             self.counters["unknown_zones"] += 1
             self.on_unknown_zone(zone)
         elif zone not in self.since:
             self.since[zone] = now
-            self.on_zone_changed(zone, True, change.revision)
+            self.on_change(zone, True, change.revision)
--- a/src/beamloom/node/token_core.py
+++ b/src/beamloom/node/token_core.py
@@ -125,7 +125,7 @@
                 mechanisms=mechanisms,
             )
             self.evacuations.on_zones_changed = self.router.backends.evacuate
-            self.evacuations.on_zone_changed = observer.evacuation
+            self.evacuations.on_change = observer.evacuation
             self.evacuations.on_unknown_zone = observer.evacuation_of_unknown_zone
         self.exchange: ViewExchange | None = None
         self._configuration_history = ConfigurationHistory()
--- a/tests/unit/test_configuration_follower.py
+++ b/tests/unit/test_configuration_follower.py
@@ -1,4 +1,4 @@
-"""Nodes that learnt the configuration in different ways have the very same contracts."""
+"""Nodes that received the configuration in different ways compile identical contracts."""
 
 import unittest
 from collections.abc import Mapping
@@ -21,12 +21,12 @@
 
 
 class Node:
-    """A follower over the applied state of a replica, without the replica's gossip."""
+    """A follower of a replica's applied state, without gossip."""
 
     def __init__(self) -> None:
         self.applied = AppliedState()
         self.follower = ConfigurationFollower(cast(ConfigurationReplica, self))
-        self.told: dict[str, ServiceContract] = {}
+        self.contracts: dict[str, ServiceContract] = {}
 
     @property
     def backend_histories(self) -> Mapping[str, BackendHistory]:
@@ -40,15 +40,15 @@
         if delta is None:
             return
         for contract in delta.services_removed:
-            assert self.told.pop(contract.service_id).service_number == contract.service_number
+            assert self.contracts.pop(contract.service_id).service_number == contract.service_number
         for contract in delta.services_changed:
-            known = self.told.get(contract.service_id, contract)
+            known = self.contracts.get(contract.service_id, contract)
             assert known.service_number == contract.service_number
-            self.told[contract.service_id] = contract
+            self.contracts[contract.service_id] = contract
 
 
 class FollowerMachine(ObjectMachine):
-    """One node sees every step, one catches up by snapshots, one is loaded anew each time."""
+    """Compares three nodes: by every step, by snapshots, and newly loaded after each step."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -108,9 +108,9 @@
             assert_same(loaded, self.late.follower.configuration)
 
     @invariant()
-    def deltas_tell_everything(self) -> None:
+    def deltas_are_complete(self) -> None:
         for node in (self.steady, self.late):
-            assert node.told == node.follower.configuration.services
+            assert node.contracts == node.follower.configuration.services
 
 
 def assert_same(one: Configuration, other: Configuration) -> None:
--- a/tests/unit/test_core_borders.py
+++ b/tests/unit/test_core_borders.py
@@ -1,7 +1,7 @@
-"""The decision core has no chance, file or clock of its own, beyond what import-linter can see.
+"""The decision core uses no global random numbers, files or clocks.
 
-import-linter forbids whole modules. `random` must be importable for the `random.Random` that is
-handed in, and builtins such as `open` are imported by nobody, so these are looked for here.
+import-linter forbids whole modules. This test covers what it cannot see: `random` may be imported
+for the type `random.Random`, and builtins such as `open` need no import.
 """
 
 import ast
@@ -15,8 +15,8 @@
 FORBIDDEN_BUILTINS = {"open", "print", "input"}
 
 
-def faults(source: str) -> Iterator[str]:
-    """Yield what a module of the core may not do."""
+def forbidden_uses(source: str) -> Iterator[str]:
+    """Yield the forbidden imports and calls of a module."""
     for node in ast.walk(ast.parse(source)):
         match node:
             case ast.Import(names):
@@ -34,12 +34,12 @@
 
 
 class CoreBordersTest(unittest.TestCase):
-    def test_core_has_no_chance_file_or_clock_of_its_own(self) -> None:
+    def test_core_uses_no_global_randomness_file_or_clock(self) -> None:
         modules = [path for name in CORE for path in sorted((PACKAGE / name).rglob("*.py"))]
         self.assertGreater(len(modules), len(CORE))
         for path in modules:
             with self.subTest(module=path.relative_to(PACKAGE)):
-                self.assertEqual(list(faults(path.read_text())), [])
+                self.assertEqual(list(forbidden_uses(path.read_text())), [])
 
     def test_each_fault_is_found(self) -> None:
         for source in (
@@ -51,7 +51,7 @@
             "open('x')",
         ):
             with self.subTest(source=source):
-                self.assertEqual(len(list(faults(source))), 1)
+                self.assertEqual(len(list(forbidden_uses(source))), 1)
 
 
 if __name__ == "__main__":
--- a/tests/unit/tokens/test_evacuation.py
+++ b/tests/unit/tokens/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Zones that operators evacuate: who hears of it, and what becomes of flows there."""
+"""Zone evacuations: routing of new and open flows, and how a node learns of evacuations."""
 
 import random
 import unittest
@@ -38,7 +38,7 @@
     return ObjectChange(zone, revision, ZoneEvacuation(zone))
 
 
-def taken_back(zone: str, revision: int = 8) -> ObjectChange[ZoneEvacuation]:
+def evacuation_ended(zone: str, revision: int = 8) -> ObjectChange[ZoneEvacuation]:
     return ObjectChange(zone, revision, None)
 
 
@@ -61,27 +61,27 @@
         self.router.backends.evacuate(frozenset({ZONE, "east"}), START)
         self.assertEqual(forwarded_to(self.router.handle(data, START + 1.0)), chosen)
 
-    def test_a_copy_of_an_opening_leaves_an_evacuated_zone(self) -> None:
+    def test_retransmitted_opening_leaves_an_evacuated_zone(self) -> None:
         self.router.backends.evacuate(frozenset(), START)
         first = forwarded_to(self.router.handle(opening(1), START))
         zone = {1: ZONE, 2: "east"}[first]
         self.router.backends.evacuate(frozenset({zone}), START)
         self.assertNotEqual(forwarded_to(self.router.handle(opening(1, 1), START + 0.01)), first)
 
-    def test_where_nothing_is_left_a_flow_is_refused_at_once(self) -> None:
+    def test_flow_is_refused_when_all_zones_are_evacuated(self) -> None:
         self.router.backends.evacuate(frozenset({ZONE, "east"}), START)
         command = self.router.handle(opening(1), START)
         assert isinstance(command, ResetFlow)
         self.assertIs(command.reason, RefusalReason.NO_BACKEND)
 
-    def test_a_backend_that_has_just_gone_from_there_is_no_last_resort(self) -> None:
+    def test_removed_backend_of_an_evacuated_zone_is_no_fallback(self) -> None:
         self.router.backends.remove(backend(2).name, START)
         self.router.backends.remove(backend(1).name, START)
         self.assertEqual(forwarded_to(self.router.handle(opening(1), START + 0.1)), 2)
         self.router.backends.evacuate(frozenset({ZONE, "east"}), START)
         self.assertIsInstance(self.router.handle(opening(2), START + 0.1), ResetFlow)
 
-    def test_backends_that_come_or_move_later_are_evacuated_as_well(self) -> None:
+    def test_backends_added_or_moved_to_an_evacuated_zone_get_no_flows(self) -> None:
         self.router.backends.update(backend(3), 20, START)
         self.router.backends.update(backend(2, zone=ZONE), 21, START)
         self.assertIsInstance(self.router.handle(opening(1), START), ResetFlow)
@@ -93,21 +93,21 @@
         self.zones: list[set[str]] = []
         self.follower.on_zones_changed = lambda zones, now, returns: self.zones.append(set(zones))
 
-    def test_it_holds_until_it_is_removed(self) -> None:
+    def test_evacuation_lasts_until_its_object_is_removed(self) -> None:
         self.follower.apply((evacuation("west"),), START)
         self.follower.apply((evacuation("east"),), START + 1.0)
-        self.follower.apply((taken_back("west"),), START + 2.0)
+        self.follower.apply((evacuation_ended("west"),), START + 2.0)
         self.assertEqual(self.zones, [{"west"}, {"west", "east"}, {"east"}])
         self.assertEqual(self.follower.since, {"east": START + 1.0})
 
-    def test_it_is_told_at_which_revision_a_zone_was_taken_back(self) -> None:
+    def test_revision_at_the_end_of_an_evacuation_is_reported(self) -> None:
         returns: list[Mapping[str, int]] = []
-        self.follower.on_zones_changed = lambda zones, now, told: returns.append(told)
+        self.follower.on_zones_changed = lambda zones, now, revisions: returns.append(revisions)
         self.follower.apply((evacuation("west"),), START)
-        self.follower.apply((taken_back("west"),), START + 2.0)
-        self.assertEqual(returns, [{}, {"west": taken_back("west").revision}])
+        self.follower.apply((evacuation_ended("west"),), START + 2.0)
+        self.assertEqual(returns, [{}, {"west": evacuation_ended("west").revision}])
 
-    def test_a_zone_that_is_not_known_changes_nothing(self) -> None:
+    def test_unknown_zone_is_counted_and_ignored(self) -> None:
         unknown: list[str] = []
         self.follower.on_unknown_zone = unknown.append
         self.follower.apply((evacuation("nowhere"),), START)
@@ -124,7 +124,7 @@
         watch.take_page(ListPage((), False, 9, ""), asked_at=START)
         self.assertEqual(watch.next_request(), WatchRequest(9))
 
-    def test_an_older_list_takes_nothing_back(self) -> None:
+    def test_older_list_ends_no_evacuation(self) -> None:
         named = NamedRecord("west", 7, ZoneEvacuation("west"))
         self.follower.apply(self.follower.view.replace([named], 9), START)
         self.follower.apply(self.follower.view.replace([], 8), START)
@@ -132,59 +132,61 @@
 
 
 class StartTest(unittest.TestCase):
-    def test_a_node_that_starts_leaves_the_first_list_to_its_peers(self) -> None:
+    def test_starting_node_waits_for_its_peers_before_it_lists(self) -> None:
         turn = make_follower().turn
         times = evacuation_reading_times(BOUND_SECONDS)
         self.assertFalse(turn.must_ask(START))
         self.assertFalse(turn.must_ask(START + times.unconfirmed_seconds - 0.01))
         self.assertTrue(turn.must_ask(START + times.unconfirmed_seconds + 0.31))
 
-    def test_without_that_it_lists_at_once(self) -> None:
+    def test_node_without_evacuations_from_peers_lists_at_once(self) -> None:
         off = mechanisms_without("evacuations_from_peers")
         self.assertTrue(make_follower(mechanisms=off).turn.must_ask(START))
 
-    def test_a_seed_lists_at_once_and_afresh(self) -> None:
-        """Peers are told of a whole list only, and those who start ask the seeds first."""
+    def test_seed_lists_at_once_and_not_stale(self) -> None:
+        """Starting nodes ask the seeds first, and stale lists are not passed on to peers."""
         seed = make_follower(is_seed=True)
         self.assertTrue(seed.turn.must_ask(START))
         self.assertEqual(seed.watch.next_request(), ListRequest("", stale=False))
 
-    def test_a_lost_history_is_listed_at_once(self) -> None:
+    def test_lost_history_requires_a_list_at_once(self) -> None:
         follower = make_follower()
         follower.watch.take_page(ListPage((), False, 9, ""), asked_at=START)
         follower.watch.take_lost_history()
         self.assertTrue(follower.turn.must_ask(START))
 
-    def test_every_node_hears_in_time_after_the_readers_are_gone(self) -> None:
-        """A watch that hangs, staleness, its spread, a tick and a call fit into the bound."""
+    def test_nodes_learn_within_the_bound_after_all_readers_fail(self) -> None:
+        """The longest staleness, its random spread, a tick and a call fit into the bound."""
         times = evacuation_reading_times(BOUND_SECONDS)
         self.assertLessEqual(times.stale_seconds + 0.3 + 0.25 + 0.4, BOUND_SECONDS)
         self.assertLess(times.wait_seconds, times.stale_seconds)
 
 
 class CoreTest(unittest.TestCase):
-    def test_peers_are_told_with_the_other_kinds(self) -> None:
-        told, hearing = (
+    def test_evacuations_are_sent_to_peers(self) -> None:
+        sender, receiver = (
             new_core(evacuate_seconds=BOUND_SECONDS),
             new_core(evacuate_seconds=BOUND_SECONDS),
         )
-        for core, host in ((told, "10.0.0.1"), (hearing, "10.0.0.2")):
+        for core, host in ((sender, "10.0.0.1"), (receiver, "10.0.0.2")):
             core.join_peers(host, ())
             core.advance(START)
-        assert told.evacuations is not None
-        assert hearing.evacuations is not None
-        told.evacuations.watch.take_page(ListPage((), False, 9, ""), asked_at=START)
-        changes = told.evacuations.watch.take_changes(ChangeBatch((evacuation("east"),), 9), START)
-        told.take_evacuations(changes, START)
-        told.handle_message("10.0.0.2", ViewDigest([], [], []), START)
+        assert sender.evacuations is not None
+        assert receiver.evacuations is not None
+        sender.evacuations.watch.take_page(ListPage((), False, 9, ""), asked_at=START)
+        changes = sender.evacuations.watch.take_changes(
+            ChangeBatch((evacuation("east"),), 9), START
+        )
+        sender.take_evacuations(changes, START)
+        sender.handle_message("10.0.0.2", ViewDigest([], [], []), START)
         for _ in range(4):
             for core, host, other in (
-                (told, "10.0.0.1", hearing),
-                (hearing, "10.0.0.2", told),
+                (sender, "10.0.0.1", receiver),
+                (receiver, "10.0.0.2", sender),
             ):
                 for send in core.take_sends():
                     other.handle_message(host, send.message, START)
-        self.assertEqual(set(hearing.evacuations.since), {"east"})
+        self.assertEqual(set(receiver.evacuations.since), {"east"})
 
-    def test_a_platform_without_evacuations_is_not_asked_for_them(self) -> None:
+    def test_platform_without_evacuations_is_not_polled_for_them(self) -> None:
         self.assertIsNone(new_core().evacuations)
--- a/tests/unit/tokens/test_own_limits.py
+++ b/tests/unit/tokens/test_own_limits.py
@@ -1,4 +1,4 @@
-"""A node near one of its own limits gives up roles and takes them up again; clients see nothing."""
+"""Load shedding: a node near one of its limits sheds roles while it serves all clients."""
 
 import asyncio
 import tomllib
@@ -42,7 +42,7 @@
             self.limits.take(Usage(processor=0.05, peer_link=share))
         return self.limits.state
 
-    def test_roles_go_first_and_answers_last_and_come_back_in_turn(self) -> None:
+    def test_states_change_one_at_a_time_in_both_directions(self) -> None:
         self.assertEqual(self.take(0.95, SAMPLES_TO_SHED), ROLES_SHED)
         self.assertEqual(self.take(0.95, SAMPLES_TO_SHED), CLOSED_TO_PEERS)
         self.assertEqual(self.take(0.1, SAMPLES_TO_RETURN), ROLES_SHED)
@@ -59,7 +59,7 @@
         )
         self.assertEqual(self.limits.counters["roles_shed_peer_link"], 2)
 
-    def test_a_burst_or_a_share_in_between_moves_nothing(self) -> None:
+    def test_burst_or_usage_within_the_hysteresis_changes_nothing(self) -> None:
         self.take(0.95, SAMPLES_TO_SHED - 1)
         self.assertEqual(self.take(0.1, 1), SERVING)
         self.take(0.95, SAMPLES_TO_SHED)
@@ -68,12 +68,12 @@
         self.take(0.6, 1)
         self.assertEqual(self.take(0.1, SAMPLES_TO_RETURN - 1), ROLES_SHED)
 
-    def test_limits_that_are_not_known_shed_nothing(self) -> None:
+    def test_unknown_usage_sheds_nothing(self) -> None:
         for _ in range(20):
             self.limits.take(Usage())
         self.assertEqual(self.limits.state, SERVING)
 
-    def test_each_state_has_its_share_of_answers(self) -> None:
+    def test_answer_shares_fall_with_each_state(self) -> None:
         shares = [ANSWER_SHARES[state] for state in (SERVING, ROLES_SHED, CLOSED_TO_PEERS)]
         self.assertEqual(shares, sorted(shares, reverse=True))
 
@@ -91,14 +91,14 @@
         self.core.handle_message("10.0.0.3", ViewRequest(0, -1, [], MOST_REFERRALS), NOW)
         return [type(send.message) for send in self.core.take_sends()]
 
-    def test_a_closed_node_refers_peers_and_serves_clients(self) -> None:
+    def test_closed_node_refers_peers_and_serves_clients(self) -> None:
         self.core.use_limits(CLOSED_TO_PEERS, ROLES_SHED, "memory", 0.95)
         self.assertIn(AskElsewhere, self.answers())
         self.assertIsInstance(self.core.router.handle(opening(1), NOW), ForwardPacket)
         self.core.use_limits(SERVING, ROLES_SHED, "memory", 0.1)
         self.assertIn(ViewPart, self.answers())
 
-    def test_a_reader_leaves_the_store_to_another_if_there_is_one(self) -> None:
+    def test_reader_steps_down_only_if_there_is_another(self) -> None:
         duty = self.core.duty
         duty.reading = True
         self.core.use_limits(ROLES_SHED, SERVING, "processor", 0.8)
@@ -108,7 +108,7 @@
         duty.advance(NOW)
         self.assertFalse(duty.reading)
 
-    def test_peers_hear_that_it_can_bear_the_least(self) -> None:
+    def test_shedding_node_announces_the_least_capacity(self) -> None:
         self.core.use_limits(ROLES_SHED, SERVING, "processor", 0.8)
         self.core.ask_to_stop(NOW)
         told = [s.message for s in self.core.take_sends() if isinstance(s.message, ViewDigest)]
@@ -116,7 +116,7 @@
 
 
 class ProbeTest(unittest.TestCase):
-    def test_a_limit_that_nobody_told_is_not_judged(self) -> None:
+    def test_unusable_limit_has_no_usage(self) -> None:
         traffic: Counter[str] = Counter()
         probe = UsageProbe(Capacity(1.0, 8.0, 300.0, 4100.0), ("cores",), lambda: traffic)
         probe.sample(1.0)
@@ -128,7 +128,7 @@
             assert share is not None
             self.assertGreater(share, 0.0)
 
-    def test_figures_that_cannot_be_read_are_counted_and_not_judged(self) -> None:
+    def test_unreadable_usage_is_counted_and_unknown(self) -> None:
         probe = UsageProbe(LARGE, (), Counter)
         with mock.patch("beamloom.runtime.own_usage._resident_megabytes", side_effect=OSError):
             for sample in range(SLOW_SAMPLES + 1):
@@ -141,7 +141,7 @@
     """The task that samples a whole node."""
 
     async def watched(self, traffic: Counter[str] | None) -> tuple[LimitWatch, list[Exception]]:
-        """Return a watch after some samples; traffic that is missing is an error of our own."""
+        """Return a watch after some samples; missing traffic counts cause an internal error."""
         core = make_core(ALL_MECHANISMS, backend(1))
         settings = check_settings(tomllib.loads(SETTINGS), "node.toml")
         settings = settings._replace(capacity=LARGE, unusable_limits=())
@@ -161,42 +161,42 @@
         await asyncio.gather(task, return_exceptions=True)
         return watch, faults
 
-    async def test_a_node_whose_peers_take_its_link_sheds(self) -> None:
+    async def test_peer_traffic_near_the_link_limit_sheds_roles(self) -> None:
         watch, faults = await self.watched(Counter())
         self.assertEqual(faults, [])
         self.assertEqual(watch.level, 2)
         self.assertEqual(watch.counters["roles_shed_peer_link"], 1)
 
-    async def test_an_error_of_our_own_ends_the_watch_and_not_the_node(self) -> None:
+    async def test_internal_error_ends_the_sampling_but_not_the_task(self) -> None:
         watch, faults = await self.watched(None)
         self.assertEqual([type(fault) for fault in faults], [TypeError])
         self.assertEqual(watch.level, 0)
 
 
 class SendersTest(unittest.TestCase):
-    """Who may open flows at a cold backend."""
+    """Which nodes may open flows at a cold backend."""
 
     HOSTS = [f"10.0.0.{number}" for number in range(1, 41)]
-    ABLE = HOSTS[:5]
+    LARGE_HOSTS = HOSTS[:5]
 
     def share(self, host: str) -> FleetShare:
         share = settled_share(host, self.HOSTS, 2)
         peers = share.peers
-        peers.capacity = LARGE if host in self.ABLE else LEAST
+        peers.capacity = LARGE if host in self.LARGE_HOSTS else LEAST
         for other in self.HOSTS:
-            peers.note_capacity(other, LARGE if other in self.ABLE else LEAST)
+            peers.note_capacity(other, LARGE if other in self.LARGE_HOSTS else LEAST)
         return share
 
-    def test_able_machines_hold_most_and_two_hold_each(self) -> None:
+    def test_large_machines_hold_most_and_two_hold_each(self) -> None:
         shares = {host: self.share(host) for host in self.HOSTS}
         held: Counter[str] = Counter()
         for key in range(200):
             holders = [host for host in self.HOSTS if shares[host].holds(key, NOW)]
             self.assertEqual(len(holders), 2)
             held.update(holders)
-        self.assertGreater(sum(held[host] for host in self.ABLE), 200)
+        self.assertGreater(sum(held[host] for host in self.LARGE_HOSTS), 200)
 
-    def test_a_peer_that_is_unheard_for_a_moment_moves_nothing(self) -> None:
+    def test_brief_loss_of_contact_with_peers_moves_no_key(self) -> None:
         own = self.HOSTS[0]
         share = self.share(own)
         keys = [key for key in range(200) if not share.holds(key, NOW)]
@@ -206,7 +206,7 @@
         share.peers._heard = others
         self.assertFalse(any(share.holds(key, NOW + 3.0) for key in keys))
 
-    def test_holders_that_are_gone_are_replaced_within_the_contact_bound(self) -> None:
+    def test_lost_holders_are_replaced_within_the_contact_bound(self) -> None:
         own = self.HOSTS[0]
         share = self.share(own)
         keys = [key for key in range(200) if not share.holds(key, NOW)]
@@ -215,13 +215,13 @@
             held = [share.holds(key, NOW + 1.0 + draw * 1.1) for key in keys]
         self.assertTrue(all(held))
 
-    def test_a_node_that_sheds_holds_nothing(self) -> None:
+    def test_shedding_node_holds_nothing(self) -> None:
         share = self.share(self.HOSTS[0])
         share.sheds = True
         self.assertFalse(any(share.holds(key, NOW) for key in range(200)))
 
-    def test_views_that_differ_leave_somebody_and_not_too_many(self) -> None:
-        """Half of the nodes have heard nobody's capacity yet."""
+    def test_differing_views_leave_few_holders_and_rarely_none(self) -> None:
+        """Half of the nodes have received no capacity of a peer yet."""
         plain = {host: settled_share(host, self.HOSTS, 2) for host in self.HOSTS[20:]}
         shares = {**{host: self.share(host) for host in self.HOSTS[:20]}, **plain}
         counts = [sum(shares[h].holds(key, NOW) for h in self.HOSTS) for key in range(300)]
--- a/tests/unit/tokens/test_settings.py
+++ b/tests/unit/tokens/test_settings.py
@@ -1,4 +1,4 @@
-"""A token node's settings: read from the platform's file, compared at a reload."""
+"""A token node's settings: reading the platform's file, comparison at a reload."""
 
 import json
 import tempfile
@@ -45,7 +45,7 @@
         self.assertEqual(settings.seeds, ("10.1.0.10", "10.2.0.40"))
         self.assertEqual((settings.drain_seconds, settings.apply_seconds), (2.5, 3.0))
 
-    def test_evacuations_are_followed_where_there_is_a_bound_for_them(self) -> None:
+    def test_evacuation_bound_and_zones_are_read(self) -> None:
         plain = tomllib.loads(SETTINGS)
         settings = check_settings(plain, "node.toml")
         self.assertEqual((settings.evacuate_seconds, settings.zones), (None, ()))
@@ -58,13 +58,13 @@
             check_settings(plain, "node.toml")
         self.assertIn("zones", str(caught.exception))
 
-    def test_a_file_in_json_is_read_the_same(self) -> None:
+    def test_json_is_read_like_toml(self) -> None:
         document = tomllib.loads(SETTINGS)
         self.assertEqual(self.read(json.dumps(document)), self.read(SETTINGS))
         with self.assertRaises(PlatformSettingsError):
             self.read("{ broken")
 
-    def test_a_faulty_file_is_told_with_the_remedy(self) -> None:
+    def test_error_for_a_faulty_file_names_the_remedy(self) -> None:
         for text in ("", "= 5", SETTINGS.replace(":8172", ""), SETTINGS.replace("[platform]", "")):
             with self.assertRaises(PlatformSettingsError) as caught:
                 self.read(text)
@@ -72,7 +72,7 @@
         with self.assertRaises(PlatformSettingsError):
             read_settings(Path("/nowhere/node.toml"))
 
-    def test_changes_and_those_that_wait_for_the_next_start(self) -> None:
+    def test_changed_fields_and_those_that_need_a_restart(self) -> None:
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
             file.write(SETTINGS)
             file.flush()
