--- a/src/beamloom/node/backend_judge.py
+++ b/src/beamloom/node/backend_judge.py
@@ -72,12 +72,12 @@
         self._is_late = is_late
         self.checks.advance(now)
 
-    def note_gone(self, backend: Backend, now: float) -> None:
+    def check_unlisted(self, backend: Backend, now: float) -> None:
         """Check a backend that the store no longer lists, if it has open flows."""
         if backend.open:
             self._router.flows.on_suspicion(backend, Suspicion.GONE, now)
 
-    def note_listed(self, name: str, now: float) -> None:
+    def recheck_listed(self, name: str, now: float) -> None:
         """Check a backend again that was found dead, as its entry is new or has changed."""
         backend = self._router.backends.find(name)
         if backend is not None and backend.down_since is not None:
--- a/src/beamloom/node/belief_observer.py
+++ b/src/beamloom/node/belief_observer.py
@@ -69,7 +69,7 @@
 
     @abstractmethod
     def unusable_capacity(self, host: str, fields: tuple[str, ...]) -> None:
-        """Record that a peer announced unusable capacity figures, in these fields."""
+        """Record that a peer announced unusable capacity figures; these fields count as least."""
 
     @abstractmethod
     def own_limits(self, state: str, before: str, limit: str, share: float) -> None:
--- a/src/beamloom/node/evacuation_follower.py
+++ b/src/beamloom/node/evacuation_follower.py
@@ -48,7 +48,7 @@
     def __init__(
         self,
         duty: ReaderDuty,
-        chance: random.Random,
+        rng: random.Random,
         times: ReadingTimes,
         known_zones: Collection[str] = (),
         *,
@@ -57,11 +57,11 @@
         mechanisms: Mechanisms = ALL_MECHANISMS,
     ) -> None:
         self.view: StoreView[ZoneEvacuation] = StoreView(EvacuationOrder())
-        self.watch = ObjectWatch(self.view, chance, stale_start=not is_seed, may_be_empty=True)
+        self.watch = ObjectWatch(self.view, rng, stale_start=not is_seed, may_be_empty=True)
         self.turn = ReadingTurn(
             self.watch,
             duty,
-            chance,
+            rng,
             KIND,
             times=times,
             begins_with_peers=mechanisms.evacuations_from_peers and not is_seed,
@@ -74,7 +74,7 @@
         )
         self.on_change: Callable[[str, bool, int], None] = lambda zone, evacuated, revision: None
         self.on_unknown_zone: Callable[[str], None] = lambda zone: None
-        self._kept = KeptWords(self.view, self.apply)
+        self._kept_evacuations = KeptWords(self.view, self.apply)
         self._times = times
         self._known_zones = frozenset(known_zones)
         self._confirms_early = mechanisms.early_confirmation
@@ -96,7 +96,7 @@
 
     def advance(self, now: float) -> None:
         """Adopt a restored store's state once operators have had time to write again."""
-        self._kept.advance(now)
+        self._kept_evacuations.advance(now)
 
     def apply(self, changes: EvacuationChanges, now: float) -> None:
         """Apply changes from the store or from peers."""
--- a/src/beamloom/node/token_core.py
+++ b/src/beamloom/node/token_core.py
@@ -134,7 +134,7 @@
         self.on_progress: Callable[[], None] = lambda: None
         self._configuration_name = configuration_name
         self._observer = observer
-        self._chance = chance
+        self._rng = chance
         self._zone = zone
         self._capacity = capacity
         self._cold_start_share: FleetShare | None = None
@@ -193,9 +193,9 @@
         ]
         if self.evacuations is not None:
             views.append(self.evacuations.make_shared_view(self._apply_evacuations))
-        peers = PeerTable(host, seeds, self._chance, self._zone, self._capacity)
+        peers = PeerTable(host, seeds, self._rng, self._zone, self._capacity)
         by_capacity = self._mechanisms.capacity_roles
-        self.exchange = ViewExchange(views, peers, self.duty, self._chance, by_capacity=by_capacity)
+        self.exchange = ViewExchange(views, peers, self.duty, self._rng, by_capacity=by_capacity)
         self.exchange.on_unusable_capacity = self._observer.unusable_capacity
         self._failure_handler.join(self.exchange)
         if self._cold_starts is not None:
@@ -350,14 +350,14 @@
     ) -> None:
         for change in changes:
             if change.record is None:
-                gone = self.router.backends.remove(change.name, self._now)
-                if gone is not None:
-                    service = gone.record.service
+                removed = self.router.backends.remove(change.name, self._now)
+                if removed is not None:
+                    service = removed.record.service
                     self._observer.backend_gone(change.name, service, change.revision, source)
-                    self._failure_handler.note_gone(gone, self._now)
+                    self._failure_handler.check_unlisted(removed, self._now)
             elif self.router.backends.update(change.record, change.revision, self._now):
                 self._observer.backend_changed(change.record, change.revision, source)
-                self._failure_handler.note_listed(change.name, self._now)
+                self._failure_handler.recheck_listed(change.name, self._now)
         self.on_progress()
 
     def _apply_configuration(
--- a/src/beamloom/node/view_codecs.py
+++ b/src/beamloom/node/view_codecs.py
@@ -57,7 +57,7 @@
 
 
 class RecordCodec(DeltaCodec[Record], Generic[Record]):
-    """Encodes deltas with whole records of one type."""
+    """Encodes deltas that hold whole records of one type."""
 
     def __init__(
         self, to_list: Callable[[Record], list[Any]], from_list: Callable[[list[Any]], Record]
@@ -142,7 +142,7 @@
         name, number, _, (base, fields) = entry[:LENGTH_WITH_DIFFERENCE]
         known = self._history.find(base)
         if known is None:
-            raise ValueError(f"a difference to version {base}, which is not known here")
+            raise ValueError(f"the difference is based on version {base}, which is not held here")
         record = apply_difference(known, difference_from_list(fields))
         return ObjectChange(str(name), revision_in_era(era, int(number)), record)
 
--- a/tests/unit/tokens/test_evacuation.py
+++ b/tests/unit/tokens/test_evacuation.py
@@ -28,10 +28,10 @@
 
 
 def make_follower(**options: object) -> EvacuationFollower:
-    chance = random.Random(1)
-    duty = ReaderDuty("5", chance, reading_times())
+    rng = random.Random(1)
+    duty = ReaderDuty("5", rng, reading_times())
     times = evacuation_reading_times(BOUND_SECONDS)
-    return EvacuationFollower(duty, chance, times, **options)  # type: ignore[arg-type]
+    return EvacuationFollower(duty, rng, times, **options)  # type: ignore[arg-type]
 
 
 def evacuation(zone: str, revision: int = 7) -> ObjectChange[ZoneEvacuation]:
--- a/tests/unit/tokens/test_own_limits.py
+++ b/tests/unit/tokens/test_own_limits.py
@@ -111,8 +111,8 @@
     def test_shedding_node_announces_the_least_capacity(self) -> None:
         self.core.use_limits(ROLES_SHED, SERVING, "processor", 0.8)
         self.core.ask_to_stop(NOW)
-        told = [s.message for s in self.core.take_sends() if isinstance(s.message, ViewDigest)]
-        self.assertEqual({tuple(digest.capacity) for digest in told}, {tuple(to_wire(LEAST))})
+        sent = [s.message for s in self.core.take_sends() if isinstance(s.message, ViewDigest)]
+        self.assertEqual({tuple(digest.capacity) for digest in sent}, {tuple(to_wire(LEAST))})
 
 
 class ProbeTest(unittest.TestCase):
--- a/tests/unit/tokens/test_token_core.py
+++ b/tests/unit/tokens/test_token_core.py
@@ -189,8 +189,8 @@
         self.core.advance(START + 1.0)
         self.core.router.handle(opening(1), START + 1.0)
         self.core.advance(START + 1.0 + LATE_SECONDS + 0.2)
-        told = [send.message for send in self.core.take_sends()]
-        self.assertEqual([m.silent for m in told if isinstance(m, ViewDigest) and m.silent], [])
+        sent = [send.message for send in self.core.take_sends()]
+        self.assertEqual([m.silent for m in sent if isinstance(m, ViewDigest) and m.silent], [])
 
     def test_unanswered_opening_is_reported_to_peers(self) -> None:
         self.core.handle_message("10.0.0.2", ViewDigest([], [], []), START + 1.0)
@@ -199,8 +199,8 @@
         command = self.core.router.handle(opening(1), START + 1.0)
         assert isinstance(command, ForwardPacket)
         self.core.advance(START + 1.25)
-        told = [send.message for send in self.core.take_sends()]
-        digests = [message for message in told if isinstance(message, ViewDigest)]
+        sent = [send.message for send in self.core.take_sends()]
+        digests = [message for message in sent if isinstance(message, ViewDigest)]
         silent = [entry[0] for digest in digests for entry in digest.silent]
         self.assertIn(f"i-{command.identity:08x}", silent)
 
