--- a/src/beamloom/node/backend_judge.py
+++ b/src/beamloom/node/backend_judge.py
@@ -19,7 +19,7 @@
     from beamloom.replication.view_exchange import ViewExchange
 
 PEER_SUSPICION_SECONDS = 2.0
-"""How long a backend that several nodes report as silent is excluded from new flows."""
+"""How long a backend that several nodes report as silent, or one as dead, gets no new flows."""
 FAILING_EXCLUSION_SECONDS = 2.0
 """How long after a report a failing backend is excluded from new flows."""
 RELAPSE_SECONDS = 4.0
@@ -122,11 +122,11 @@
         if backend is None:
             return
         backend.doubt(since + CONFIRMED_UNSAFE_AVOIDANCE_SECONDS)
-        spells = self._relapse_count(backend, now)
-        until = since + FAILING_EXCLUSION_SECONDS * 2**spells
+        relapses = self._relapse_count(backend, now)
+        until = since + FAILING_EXCLUSION_SECONDS * 2**relapses
         failing = self._router.backends.note_failing(name, since, now, until)
         if failing is not None:
-            failing.failing_spells = spells
+            failing.failing_spells = relapses
             self._observer.backend_failing(failing.record)
 
     def _relapse_count(self, backend: Backend, now: float) -> int:
@@ -160,7 +160,7 @@
         self._observer.backend_up(backend.record)
 
     def _handle_down_report(self, name: str, now: float) -> None:
-        """Check a backend that a peer found dead, or only suspect it if no flow is open here."""
+        """Check a backend that a peer found dead; without open flows here, only exclude it."""
         backend = self._router.backends.find(name)
         if backend is None:
             return
