--- a/src/beamloom/node/core.py
+++ b/src/beamloom/node/core.py
@@ -1,4 +1,4 @@
-"""The decision core of one balancer: it joins the components and owns no I/O of its own.
+"""The decision core of one balancer, which connects its components and performs no I/O.
 
 See docs/design/core.md for how an adapter drives it.
 """
@@ -41,22 +41,22 @@
 CONFIGURATION_KINDS = (range(20, 40), range(60, 64))
 FLOW_KINDS = (range(40, 60), range(0))
 BACKEND_KINDS = (range(64, 70), range(0))
-"""Kind numbers of the messages that each part takes; see docs/design/core.md."""
+"""Kind numbers of the messages that each component group handles; see docs/design/core.md."""
 
 
 class NodeCore:
-    """One balancer without sockets or clock: events in, commands out."""
+    """One balancer without sockets or a clock: it turns events into commands."""
 
     def __init__(self, options: NodeOptions, now: float) -> None:
         self.options = options
         machine = options.machine
         node_id = machine.node_id
-        chance = random.Random(f"{options.seed}/{node_id}")
-        self.membership = MembershipCore(machine, options.seeds, options.membership, chance)
-        self.replica = ConfigurationReplica(node_id, chance, now)
-        self.election = ReaderElection(node_id, self.replica, chance, itertools.count(1))
-        self.fleet_status = FleetStatus(node_id, lambda: self.replica.applied_revision, chance, now)
-        self.watchers = BackendWatchers(node_id, chance, now)
+        rng = random.Random(f"{options.seed}/{node_id}")
+        self.membership = MembershipCore(machine, options.seeds, options.membership, rng)
+        self.replica = ConfigurationReplica(node_id, rng, now)
+        self.election = ReaderElection(node_id, self.replica, rng, itertools.count(1))
+        self.fleet_status = FleetStatus(node_id, lambda: self.replica.applied_revision, rng, now)
+        self.watchers = BackendWatchers(node_id, rng, now)
         self.admission = TenantAdmission(options.table_capacity, now)
         self.gate = TenantGate(self.admission)
         self._health = ObservedHealth(self.watchers, now)
@@ -85,20 +85,23 @@
             )
         )
         self._view_version = -1
-        self._stop_by: float | None = None
+        self._stop_deadline: float | None = None
         self._stopped = False
 
     # -- the adapter's calls -------------------------------------------------------------------
 
     def start(self, now: float) -> list[Command]:
-        """Begin: returns the first commands."""
-        self._timers.touch_all()
+        """Start the node and return its first commands."""
+        self._timers.invalidate_all()
         return self._finish(self.membership.start(now), now)
 
     def packet_received(
         self, data: bytes, source: SocketAddress, from_peer: bool, now: float
     ) -> SocketAddress | None:
-        """Return where to send the same bytes, or None; see docs/design/core.md."""
+        """Return where to forward the same bytes; None if there is nothing to forward.
+
+        A packet that must be changed is sent by a command: see `take_commands`.
+        """
         return self.forwarder.forward(data, source, from_peer, now)
 
     @property
@@ -107,42 +110,42 @@
         return self.forwarder.has_commands
 
     def take_commands(self, now: float) -> list[Command]:
-        """Return and clear the commands that packets gave rise to."""
-        self._forwarder_group.touch()
-        self._watchers_group.touch()
+        """Return and clear the commands that packets caused."""
+        self._forwarder_group.invalidate()
+        self._watchers_group.invalidate()
         return self.channel.send(self.forwarder.take_commands(), now)
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event; raises UnknownEventError for what is not in protocol/events.py."""
+        """Handle one event; raises UnknownEventError for an event of an unknown type."""
         return self._finish(self._dispatch(event, now), now)
 
     def next_timer(self) -> float | None:
-        """Return when `TimerExpired` is wanted."""
+        """Return when to deliver the next `TimerExpired`, or None."""
         times = [self._timers.next_timer(), self.channel.next_timer()]
         if not self._stopped:
-            times.append(self._stop_by)
+            times.append(self._stop_deadline)
         return min((time for time in times if time is not None), default=None)
 
     # -- state for adapters and operators ------------------------------------------------------
 
     @property
     def configuration(self) -> ConfigurationFollower:
-        """The compiled configuration in force."""
+        """The follower that holds the compiled configuration in force."""
         return self._follower
 
     @property
     def revision_in_force(self) -> int:
-        """The store's revision up to which every change is in force at this node."""
+        """The store revision up to which every change is in force at this node."""
         return self.replica.applied_revision
 
     @property
     def ready(self) -> bool:
-        """Whether packets may be sent to this node: configured, and not on its way out."""
-        return self.replica.ready and self._stop_by is None
+        """Whether packets may be sent to this node: it is configured and was not asked to stop."""
+        return self.replica.ready and self._stop_deadline is None
 
     def ask_in_force(self, revision: int, now: float) -> list[Command]:
-        """Begin to find out where a revision is in force; `fleet_status.in_force` tells."""
-        self._configuration_group.touch()
+        """Start to collect where a revision is in force; the result is `fleet_status.in_force`."""
+        self._configuration_group.invalidate()
         return self._finish(self.fleet_status.ask(revision, now), now)
 
     # -- events --------------------------------------------------------------------------------
@@ -154,15 +157,15 @@
             case ControlDatagramReceived(data):
                 return self._control_received(data, now)
             case MachinesListed(live, leaving):
-                self._membership_group.touch()
+                self._membership_group.invalidate()
                 return self.membership.machines_listed(live, leaving, now)
             case BackendChecked():
-                self._watchers_group.touch()
+                self._watchers_group.invalidate()
                 return self.watchers.backend_checked(event, now)
             case StopRequested():
                 return self._begin_stop(now)
             case StoreAnswer():
-                self._configuration_group.touch()
+                self._configuration_group.invalidate()
                 return self.election.handle(event, now)
             case _:
                 raise UnknownEventError(event)
@@ -183,29 +186,29 @@
         return commands
 
     def _begin_stop(self, now: float) -> list[Command]:
-        if self._stop_by is not None:
+        if self._stop_deadline is not None:
             return []
-        self._stop_by = now + self.options.stop_timeout
-        self._timers.touch_all()
+        self._stop_deadline = now + self.options.stop_timeout
+        self._timers.invalidate_all()
         self.forwarder.begin_leave(now)
         return self.membership.leave(now)
 
     # -- after each event ----------------------------------------------------------------------
 
     def _finish(self, commands: Sequence[Command], now: float) -> list[Command]:
-        """Carry changes of one component to the others, then pace the messages."""
+        """Pass changes of one component to the others, then pace the messages."""
         all_commands = list(commands)
-        all_commands.extend(self._follow_configuration(now))
-        all_commands.extend(self._follow_members(now))
+        all_commands.extend(self._apply_configuration_changes(now))
+        all_commands.extend(self._apply_member_changes(now))
         all_commands.extend(self._complete_stop(now))
         return self.channel.send(all_commands, now)
 
-    def _follow_members(self, now: float) -> list[Command]:
+    def _apply_member_changes(self, now: float) -> list[Command]:
         view = self.membership.view
         if view.version == self._view_version:
             return []
         self._view_version = view.version
-        self._timers.touch_all()
+        self._timers.invalidate_all()
         members = [view.members[node_id] for node_id in sorted(view.members)]
         answering = [member for member in members if member.answers]
         self.replica.update_members(answering, now)
@@ -216,18 +219,18 @@
         self.admission.update_share(1.0 / max(1, homes), homes, now)
         return self.election.update_members(answering, now)
 
-    def _follow_configuration(self, now: float) -> list[Command]:
+    def _apply_configuration_changes(self, now: float) -> list[Command]:
         delta = self._follower.catch_up()
         if delta is not None:
-            self._put_in_force(delta, now)
+            self._apply_configuration_delta(delta, now)
         own = self.membership.view.member(self.options.machine.node_id)
         if self.replica.ready and own is not None and own.state is MemberState.JOINING:
-            self._membership_group.touch()
+            self._membership_group.invalidate()
             return self.membership.become_alive(now)
         return []
 
-    def _put_in_force(self, delta: ConfigurationDelta, now: float) -> None:
-        self._timers.touch_all()
+    def _apply_configuration_delta(self, delta: ConfigurationDelta, now: float) -> None:
+        self._timers.invalidate_all()
         configuration = self._follower.configuration
         if delta.tenants_changed or delta.tenants_removed:
             self.admission.update_contracts(configuration.tenants.values(), now)
@@ -240,14 +243,14 @@
         self.fleet_status.revision_applied(now)
 
     def _complete_stop(self, now: float) -> list[Command]:
-        if self._stop_by is None or self._stopped:
+        if self._stop_deadline is None or self._stopped:
             return []
         complete = self.forwarder.leave_complete
-        if not complete and now < self._stop_by:
+        if not complete and now < self._stop_deadline:
             return []
         self._stopped = True
-        self._timers.touch_all()
-        reason = "every flow was handed over" if complete else "the time for a stop is over"
+        self._timers.invalidate_all()
+        reason = "every flow was handed over" if complete else "the stop timeout expired"
         return [*self.membership.leave_complete(now), StopNode(complete, reason)]
 
     def _control_address(self, node_id: NodeId) -> SocketAddress | None:
--- a/src/beamloom/node/evacuation_follower.py
+++ b/src/beamloom/node/evacuation_follower.py
@@ -1,7 +1,7 @@
-"""Which zones operators evacuate, as a node hears it from the store and from its peers.
+"""Tracks which zones operators evacuate, from the store and from peers.
 
-An evacuation is an object of the store; its removal takes the zone back. It is followed like
-backends and the configuration, with its revision, but asked for less often: see `reading_times.py`.
+An evacuation is a store object, and its removal ends the evacuation. It is read and exchanged like
+backends and the configuration, but polled less often: see `reading_times.py`.
 """
 
 from __future__ import annotations
@@ -25,30 +25,30 @@
     from beamloom.replication.shared_view import SharedView
 
 KIND = 2
-"""After backends and the configuration: see `ReaderDuty.reads`."""
+"""Number of this kind of object, by which readers divide the kinds: see `ReaderDuty.reads`."""
 
 EvacuationChanges = tuple[ObjectChange[ZoneEvacuation], ...]
 
 
 class EvacuationFollower:
-    """The evacuations of one node.
-
-    `since` tells when this node heard of each, in seconds of the steady clock. `on_zones` is called
-    where they change, with all evacuated zones, and with the revision at which each that is so no
-    longer was taken back (a later one where a list told). `on_change` is called with each zone,
-    whether it is evacuated now, and the revision. What names none of `known_zones` is counted and
-    changes nothing; without any, all are taken. While calls of `leader`, which reads another kind,
-    fail, only readers ask.
-
-    A node that `is_seed` lists them itself when it starts, and not by a stale answer, of which
-    peers are not told: those who start ask the seeds first, and after a start of all nodes nobody
-    else would know of an evacuation before readers are elected.
+    """The evacuations that one node knows.
+
+    `since` is when this node learned of each, in seconds of the monotonic clock. `on_zones_changed`
+    is called with all evacuated zones, the time, and for zones no longer evacuated the revision at
+    which that changed (a later one if it was seen in a list). `on_change` is called for each change
+    of a zone with whether it is evacuated now, and the revision. Evacuations outside `known_zones`
+    are counted and ignored; if `known_zones` is empty, every zone is accepted. While the calls of
+    `leader`, the watch of another kind, fail, only readers call the store.
+
+    With `is_seed` the first list is requested at once and must not be stale, as stale lists are not
+    passed on to peers. Starting nodes ask the seeds first, and after a start of the whole fleet no
+    other node would know of an evacuation until readers are elected.
     """
 
     def __init__(
         self,
         duty: ReaderDuty,
-        chance: random.Random,
+        rng: random.Random,
         times: ReadingTimes,
         known_zones: Collection[str] = (),
         *,
@@ -57,11 +57,11 @@
         mechanisms: Mechanisms = ALL_MECHANISMS,
     ) -> None:
         self.view: StoreView[ZoneEvacuation] = StoreView(EvacuationOrder())
-        self.watch = ObjectWatch(self.view, chance, stale_start=not is_seed, may_be_empty=True)
+        self.watch = ObjectWatch(self.view, rng, stale_start=not is_seed, may_be_empty=True)
         self.turn = ReadingTurn(
             self.watch,
             duty,
-            chance,
+            rng,
             KIND,
             times=times,
             begins_with_peers=mechanisms.evacuations_from_peers and not is_seed,
@@ -69,18 +69,20 @@
         )
         self.since: dict[str, float] = {}
         self.counters: Counter[str] = Counter()
-        self.on_zones: Callable[[frozenset[str], float, Mapping[str, int]], None] = (
-            lambda zones, now, returns: None
+        self.on_zones_changed: Callable[[frozenset[str], float, Mapping[str, int]], None] = (
+            lambda zones, now, end_revisions: None
         )
         self.on_change: Callable[[str, bool, int], None] = lambda zone, evacuated, revision: None
-        self.on_unknown: Callable[[str], None] = lambda zone: None
-        self._kept = KeptWords(self.view, self.apply)
+        self.on_unknown_zone: Callable[[str], None] = lambda zone: None
+        self._kept_evacuations = KeptWords(self.view, self.apply)
         self._times = times
         self._known_zones = frozenset(known_zones)
         self._confirms_early = mechanisms.early_confirmation
 
-    def share(self, apply: Callable[[EvacuationChanges], None]) -> SharedView[ZoneEvacuation]:
-        """Return the view as peers are told of it; `apply` is called with what they tell."""
+    def make_shared_view(
+        self, apply: Callable[[EvacuationChanges], None]
+    ) -> SharedView[ZoneEvacuation]:
+        """Return the view for the exchange with peers; `apply` is called with their changes."""
         from beamloom.node.view_codecs import EVACUATION_CODEC
         from beamloom.replication.shared_view import SharedView
 
@@ -93,18 +95,18 @@
         )
 
     def advance(self, now: float) -> None:
-        """Let time pass: give up what a restored store does not hold, and nobody has repeated."""
-        self._kept.advance(now)
+        """Adopt a restored store's state once operators have had time to write again."""
+        self._kept_evacuations.advance(now)
 
     def apply(self, changes: EvacuationChanges, now: float) -> None:
-        """Take what has changed, from wherever it was heard."""
+        """Apply changes from the store or from peers."""
         before = set(self.since)
         for change in changes:
             self._apply_one(change, now)
         if self.since.keys() != before:
             gone = (change for change in changes if change.record is None)
-            returns = {change.name: change.revision for change in gone}
-            self.on_zones(frozenset(self.since), now, returns)
+            end_revisions = {change.name: change.revision for change in gone}
+            self.on_zones_changed(frozenset(self.since), now, end_revisions)
 
     def _apply_one(self, change: ObjectChange[ZoneEvacuation], now: float) -> None:
         zone = change.name
@@ -113,7 +115,7 @@
                 self.on_change(zone, False, change.revision)
         elif self._known_zones and zone not in self._known_zones:
             self.counters["unknown_zones"] += 1
-            self.on_unknown(zone)
+            self.on_unknown_zone(zone)
         elif zone not in self.since:
             self.since[zone] = now
             self.on_change(zone, True, change.revision)
