--- a/src/beamloom/admission/limits.py
+++ b/src/beamloom/admission/limits.py
@@ -1,8 +1,8 @@
-"""Tenant limits: each node's part of the fleet-wide values of `TenantLimits`.
+"""Tenant limits: each node enforces its part of the fleet-wide values of `TenantLimits`.
 
-New flows are decided by homes and partitions are spread evenly, so a node enforces the limit times
-its share of the partitions. Packets are sprayed evenly, so their limit is divided by the number of
-live nodes. Packets are charged to a countdown that `poll` refills, after they have passed.
+Homes decide new flows, so a node enforces the limits on flows times its share of the partitions.
+Packets arrive evenly at all nodes, so their limit is divided by the number of live nodes. They are
+charged after they were forwarded, against a budget that `poll` refills.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 FLOW_BURST_SECONDS = 0.5
 FLOW_BURST_MINIMUM = 8.0
 MAXIMUM_RETRY_AFTER = 30.0
-FULL_RETRY_AFTER = 5.0
+QUOTA_RETRY_AFTER = 5.0
 CONTENDED_OCCUPANCY = 0.9
 UNLIMITED_PACKETS = 1 << 62
 
 
 class AdmissionDecision(Enum):
-    """Whether a new flow may enter, and which limit stopped it if not."""
+    """Whether a new flow is admitted, and which limit refused it if not."""
 
     ADMIT = "admit"
     REFUSE_RATE = "refuse_rate"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionAnswer:
-    """A decision; `retry_after` is the seconds after which the client may come back."""
+    """A decision; `retry_after` is the number of seconds after which the client may retry."""
 
     decision: AdmissionDecision
     retry_after: float = 0.0
@@ -48,7 +48,7 @@
 
 
 class UnknownTenantError(KeyError):
-    """No contract names this tenant; call `update_contracts` before admitting its flows."""
+    """The tenant has no contract; call `update_contracts` before admitting its flows."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,12 +65,12 @@
 
 @dataclass(slots=True)
 class TenantAccount:
-    """What one tenant has left on this node; `packets_left` is below 0 after a burst."""
+    """Limits and counters of one tenant on this node; `packets_left` may be negative."""
 
     limits: TenantLimits
     tokens: float = FLOW_BURST_MINIMUM
     refilled_at: float = 0.0
-    promised_until: float = 0.0
+    last_retry_at: float = 0.0
     flow_rate: float = math.inf
     flow_burst: float = FLOW_BURST_MINIMUM
     open_flow_quota: int = 0
@@ -85,12 +85,12 @@
     refused: dict[AdmissionDecision, int] = field(default_factory=dict)
 
     def charge_packets(self, count: int) -> bool:
-        """Take packets that have passed; returns whether none are left until the next refill."""
+        """Charge forwarded packets; returns whether the budget is used up until a refill."""
         self.packets_left -= count
         return self.packets_left <= 0
 
     def refill_packets(self, elapsed: float) -> None:
-        """Add what `elapsed` seconds allow, up to the burst."""
+        """Add the packets that `elapsed` seconds allow, up to the burst."""
         gained = self.packet_rate * elapsed + self.packet_fraction
         whole = int(gained)
         self.packet_fraction = gained - whole
@@ -98,7 +98,7 @@
         self.packets_left = left if left < self.packet_burst else self.packet_burst
 
     def set_packet_rate(self, rate: float) -> None:
-        """Take this node's packets per second; infinity means unlimited."""
+        """Set this node's packets per second; infinity means unlimited."""
         was_unlimited = self.packet_rate == math.inf
         self.packet_rate = rate
         if rate == math.inf:
@@ -115,19 +115,22 @@
         if self.flow_rate != math.inf:
             self.tokens = min(self.flow_burst, self.tokens + elapsed * self.flow_rate)
 
-    def promise(self, now: float) -> float:
-        """Return when a refused client may return; each is told a later time than the last."""
+    def next_retry_after(self, now: float) -> float:
+        """Return the seconds after which a refused client may retry.
+
+        Successive clients are spaced by the interval of the flow rate, up to MAXIMUM_RETRY_AFTER.
+        """
         if self.flow_rate <= 0.0:
             return MAXIMUM_RETRY_AFTER
         interval = 1.0 / self.flow_rate
-        self.promised_until = max(self.promised_until, now) + interval
+        self.last_retry_at = max(self.last_retry_at, now) + interval
         latest = now + MAXIMUM_RETRY_AFTER
-        self.promised_until = min(self.promised_until, latest)
-        return self.promised_until - now
+        self.last_retry_at = min(self.last_retry_at, latest)
+        return self.last_retry_at - now
 
 
 class TenantAdmission:
-    """Decides whether new flows and packets of each tenant may enter through this node.
+    """Decides whether new flows and packets of each tenant are admitted at this node.
 
     `table_capacity` is the number of entries of this node's flow table.
     """
@@ -142,7 +145,7 @@
         self._refilled_at = now
 
     def update_contracts(self, contracts: Iterable[TenantContract], now: float) -> None:
-        """Take the tenants in force; the counts of tenants that stay are kept."""
+        """Replace the tenants' contracts; counters of tenants that remain are kept."""
         accounts: dict[str, TenantAccount] = {}
         for contract in contracts:
             account = self._accounts.get(contract.tenant)
@@ -152,13 +155,13 @@
             accounts[contract.tenant] = account
         self._accounts = accounts
         self._entries = sum(account.table_entries for account in accounts.values())
-        self._apply_all(now)
+        self._apply_limits_to_all(now)
 
     def update_share(self, home_share: float, live_nodes: int, now: float) -> None:
-        """Take this node's share of the partitions (0 to 1) and the number of live nodes."""
+        """Set this node's share of the partitions (0 to 1) and the number of live nodes."""
         self._share = min(1.0, max(0.0, home_share))
         self._live_nodes = max(1, live_nodes)
-        self._apply_all(now)
+        self._apply_limits_to_all(now)
 
     def account(self, tenant: str) -> TenantAccount:
         """Return a tenant's account; raises UnknownTenantError."""
@@ -188,7 +191,7 @@
         self.account(tenant).open_flows += 1
 
     def flow_closed(self, tenant: str) -> None:
-        """Forget one open flow, closed or handed to another home."""
+        """Subtract one open flow that closed or was handed over to another home."""
         account = self._accounts.get(tenant)
         if account is not None and account.open_flows > 0:
             account.open_flows -= 1
@@ -199,18 +202,18 @@
         self._entries += 1
 
     def entry_removed(self, tenant: str) -> None:
-        """Forget one flow-table entry of the tenant."""
+        """Subtract one flow-table entry of the tenant."""
         account = self._accounts.get(tenant)
         if account is not None and account.table_entries > 0:
             account.table_entries -= 1
             self._entries -= 1
 
     def handle_message(self, sender: NodeId, message: Message, now: float) -> list[Command]:
-        """Admission exchanges no messages."""
+        """Ignore the message: admission uses none."""
         return []
 
     def poll(self, now: float) -> list[Command]:
-        """Refill the packet countdowns when they are due."""
+        """Refill the packet budgets if a refill is due."""
         elapsed = now - self._refilled_at
         if elapsed < REFILL_INTERVAL * 0.999:
             return []
@@ -228,29 +231,29 @@
         return {tenant: _status(account) for tenant, account in self._accounts.items()}
 
     def _decide(self, account: TenantAccount, now: float) -> AdmissionAnswer:
-        if self._table_refuses(account):
-            return AdmissionAnswer(AdmissionDecision.REFUSE_TABLE, FULL_RETRY_AFTER)
+        if self._table_quota_exceeded(account):
+            return AdmissionAnswer(AdmissionDecision.REFUSE_TABLE, QUOTA_RETRY_AFTER)
         if account.limits.open_flows and account.open_flows >= account.open_flow_quota:
-            return AdmissionAnswer(AdmissionDecision.REFUSE_OPEN_FLOWS, FULL_RETRY_AFTER)
+            return AdmissionAnswer(AdmissionDecision.REFUSE_OPEN_FLOWS, QUOTA_RETRY_AFTER)
         if account.flow_rate != math.inf and account.tokens < 1.0:
-            return AdmissionAnswer(AdmissionDecision.REFUSE_RATE, account.promise(now))
+            return AdmissionAnswer(AdmissionDecision.REFUSE_RATE, account.next_retry_after(now))
         return ADMITTED
 
-    def _table_refuses(self, account: TenantAccount) -> bool:
+    def _table_quota_exceeded(self, account: TenantAccount) -> bool:
         if account.table_entries >= account.table_quota or self._entries >= self._capacity:
             return True
         if self._entries < self._capacity * CONTENDED_OCCUPANCY:
             return False
         return account.table_entries * len(self._accounts) >= self._capacity
 
-    def _apply_all(self, now: float) -> None:
+    def _apply_limits_to_all(self, now: float) -> None:
         for account in self._accounts.values():
-            self._apply(account, now)
+            self._apply_limits(account, now)
         self._packet_limited = [
             account for account in self._accounts.values() if account.packet_rate != math.inf
         ]
 
-    def _apply(self, account: TenantAccount, now: float) -> None:
+    def _apply_limits(self, account: TenantAccount, now: float) -> None:
         limits = account.limits
         account.refill_tokens(now)
         rate = limits.new_flows_per_second
--- a/src/beamloom/admission/refusal.py
+++ b/src/beamloom/admission/refusal.py
@@ -1,8 +1,9 @@
-"""Packets that refuse or cancel a flow, made from a packet of its client. Off the hot path.
+"""Packets that refuse or cancel a flow, built from a packet of its client. Off the hot path.
 
-Refused means not run: the caller guarantees that no packet of the flow that carried payload was
-ever forwarded, and that it is the flow's home. `build_refusal` is for a flow's first packet only.
-The `build_*_reset` functions are for a flow that ran: they cancel it and promise nothing.
+A refusal means that the request was not processed: the caller guarantees that no packet of the flow
+that carried payload was ever forwarded, and that this node is the flow's home. `build_refusal` is
+for a flow's first packet only. The `build_*_reset` functions cancel a flow that may have been
+processed and give no such guarantee.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class RefusalError(Exception):
-    """The packet cannot be refused; stay silent, the client's own retry finds the backend."""
+    """No refusal or reset can be built from the packet; send nothing, the client retries."""
 
 
 class RefusalReason(Enum):
@@ -47,7 +48,7 @@
         return _refuse_syn(original, segment, retry_after)
     if isinstance(segment, dpkt.udp.UDP):
         return _unreachable(original, packet, reason)
-    raise RefusalError("neither TCP nor UDP; drop the packet silently")
+    raise RefusalError("the packet is neither TCP nor UDP; drop it without an answer")
 
 
 def build_backend_reset(client_packet: bytes) -> bytes:
@@ -71,12 +72,12 @@
 def build_client_reset(client_packet: bytes) -> bytes:
     """Return a reset towards the client, as if from the service; raises RefusalError.
 
-    The sequence number is what the client acknowledged last. An answer that has reached the client
-    since then makes it too old and the client ignores it; send another on the client's next packet.
+    The sequence number is the packet's acknowledgement number. If the client has received more data
+    since then, it ignores the reset as too old; send another on the client's next packet.
     """
     original, segment = _parse_tcp(client_packet)
     if not segment.flags & dpkt.tcp.TH_ACK:
-        raise RefusalError("the packet acknowledges nothing; wait for the client's next one")
+        raise RefusalError("the packet has no ACK flag; wait for the client's next one")
     reset = dpkt.tcp.TCP(
         sport=segment.dport,
         dport=segment.sport,
@@ -91,7 +92,7 @@
 def _refuse_syn(original: dpkt.Packet, segment: dpkt.tcp.TCP, retry_after: float) -> bytes:
     wanted = dpkt.tcp.TH_SYN
     if segment.flags & (wanted | dpkt.tcp.TH_ACK | dpkt.tcp.TH_RST) != wanted:
-        raise RefusalError("not the first packet of a TCP flow; stay silent")
+        raise RefusalError("the packet is not the first of a TCP flow; send no answer")
     reset = dpkt.tcp.TCP(
         sport=segment.dport,
         dport=segment.sport,
@@ -142,18 +143,18 @@
         version = packet[0] >> 4
         return dpkt.ip6.IP6(packet) if version == 6 else dpkt.ip.IP(packet)
     except (dpkt.UnpackError, IndexError, ValueError) as error:
-        raise RefusalError(f"not a whole IP packet ({error!r}); drop it") from error
+        raise RefusalError(f"malformed IP packet ({error!r}); drop it") from error
 
 
 def _parse_tcp(packet: bytes) -> tuple[dpkt.Packet, dpkt.tcp.TCP]:
     original = _parse(packet)
     if not isinstance(original.data, dpkt.tcp.TCP):
-        raise RefusalError("not TCP; a UDP flow is cancelled by forgetting it")
+        raise RefusalError("the packet is not TCP; a UDP flow is cancelled by removing its entry")
     return original, original.data
 
 
 def _sequence_end(segment: dpkt.tcp.TCP) -> int:
-    """Return the sequence number after the segment; SYN and FIN count one each."""
+    """Return the sequence number after the segment; SYN and FIN count as one each."""
     length = len(segment.data)
     length += bool(segment.flags & dpkt.tcp.TH_SYN)
     length += bool(segment.flags & dpkt.tcp.TH_FIN)
--- a/src/beamloom/admission/retry_budget.py
+++ b/src/beamloom/admission/retry_budget.py
@@ -1,8 +1,8 @@
 """Retry budgets: how many requests of a service may be offered to a second backend.
 
-Retries are a share of the first tries of a sliding window plus a small minimum, so that they never
-multiply the load of a failing service (Beyer et al., Site Reliability Engineering, ch. 22; the idea
-of a budget rather than a count per request is that of Finagle's RetryBudget).
+Retries are limited to a share of the first tries in a sliding window plus a small minimum, so that
+they cannot multiply the load on a failing service (Beyer et al., Site Reliability Engineering,
+ch. 22). A budget per service instead of a count per request follows Finagle's RetryBudget.
 """
 
 from __future__ import annotations
@@ -15,10 +15,8 @@
 class RetryBudget:
     """The budget of one service; `ratio` is retries per first try, from 0 to 1.
 
-    `refused` counts the retries that were not allowed since the start.
-
-    In any window of `WINDOW_BUCKETS` whole buckets, retries never pass
-    `MINIMUM_RETRIES + ratio * first tries`.
+    `refused` counts the retries that were not allowed. In any window of `WINDOW_BUCKETS` whole
+    buckets, retries never exceed `minimum + ratio * first tries`.
     """
 
     def __init__(self, ratio: float, minimum: int = MINIMUM_RETRIES) -> None:
--- a/tests/unit/admission/test_limits.py
+++ b/tests/unit/admission/test_limits.py
@@ -24,13 +24,13 @@
 
 
 class Packets:
-    """Tenants' packets at one node, metered as the core does it."""
+    """Tenants' packets at one node, metered as in the node core."""
 
     def __init__(self, admission: TenantAdmission, *tenants: str) -> None:
         self._metering = PacketMetering(admission)
         self._meters = {tenant: TrafficMeter() for tenant in tenants}
 
-    def look(self, now: float) -> None:
+    def poll(self, now: float) -> None:
         self._metering.poll(self._meters, now)
 
     def send(self, tenant: str) -> bool:
@@ -45,7 +45,7 @@
         with self.assertRaises(UnknownTenantError):
             admission_with().admit_flow("nobody", 0.0)
 
-    def test_rate_refusals_tell_each_client_a_later_time_within_the_bound(self) -> None:
+    def test_rate_refusals_return_increasing_bounded_retry_times(self) -> None:
         admission = admission_with(a=TenantLimits(new_flows_per_second=10.0))
         answers = [admission.admit_flow("a", 0.0) for _ in range(1000)]
         refused = [answer for answer in answers if answer.decision is AdmissionDecision.REFUSE_RATE]
@@ -65,7 +65,7 @@
         admission.flow_closed("a")
         self.assertEqual(admission.admit_flow("a", 0.0).decision, AdmissionDecision.ADMIT)
 
-    def test_falling_share_cuts_no_open_flow(self) -> None:
+    def test_smaller_share_keeps_open_flows(self) -> None:
         admission = admission_with(a=TenantLimits(open_flows=100))
         for _ in range(50):
             admission.admit_flow("a", 0.0)
@@ -90,7 +90,7 @@
         share=st.floats(0.01, 1.0),
         gaps=st.lists(st.floats(0.0, 2.0), min_size=1, max_size=200),
     )
-    def test_admitted_flows_never_pass_rate_times_time_plus_burst(
+    def test_admitted_flows_never_exceed_rate_times_time_plus_burst(
         self, rate: float, share: float, gaps: list[float]
     ) -> None:
         admission = admission_with(a=TenantLimits(new_flows_per_second=rate))
@@ -105,8 +105,8 @@
         self.assertLessEqual(admitted, rate * share * now + burst + 1e-6)
 
 
-class NeighbourTest(unittest.TestCase):
-    def test_tenant_at_ten_times_its_limits_costs_the_others_nothing(self) -> None:
+class TenantIsolationTest(unittest.TestCase):
+    def test_tenant_above_its_limits_does_not_affect_others(self) -> None:
         limits = TenantLimits(new_flows_per_second=50.0, open_flows=400, packets_per_second=1000.0)
         admission = admission_with(10_000, greedy=limits, quiet=limits)
         packets = Packets(admission, "greedy", "quiet")
@@ -116,7 +116,7 @@
         dropped = {"greedy": 0, "quiet": 0}
         while now < 20.0:
             now += 0.01
-            packets.look(now)
+            packets.poll(now)
             for tenant, flows, offered in (("greedy", 5.0, 100), ("quiet", 0.15, 5)):
                 for _ in range(int(flows + source.random())):
                     answer = admission.admit_flow(tenant, now)
@@ -127,7 +127,7 @@
         self.assertGreater(refused["greedy"], 8000)
         self.assertGreater(dropped["greedy"], 150_000)
 
-    def test_table_keeps_room_for_the_tenant_that_holds_little(self) -> None:
+    def test_full_table_still_admits_tenants_with_few_entries(self) -> None:
         share = TenantLimits(table_share=0.6)
         admission = admission_with(100, first=share, second=share, late=share)
         for tenant in ("first", "second"):
@@ -147,7 +147,7 @@
         gaps=st.lists(st.floats(0.1, 1.0), max_size=100),
         offered=st.integers(0, 200),
     )
-    def test_packets_never_pass_rate_times_time_plus_burst_and_one_look(
+    def test_packets_never_exceed_rate_times_time_plus_burst_and_one_poll(
         self, rate: float, nodes: int, gaps: list[float], offered: int
     ) -> None:
         admission = admission_with(a=TenantLimits(packets_per_second=rate))
@@ -158,7 +158,7 @@
         passed = 0
         for gap in gaps:
             now += gap
-            packets.look(now)
+            packets.poll(now)
             passed += sum(packets.send("a") for _ in range(offered))
         burst = max(1.0, own_rate * PACKET_BURST_SECONDS)
         self.assertLessEqual(passed, own_rate * now + burst + offered + 1e-6)
@@ -168,7 +168,7 @@
         packets = Packets(admission, "a")
         passed = 0
         for step in range(1, 1001):
-            packets.look(step * 0.1)
+            packets.poll(step * 0.1)
             passed += packets.send("a")
         self.assertIn(passed, range(199, 203))
 
@@ -179,7 +179,7 @@
         self.assertIsNone(admission.next_timer())
         packets = Packets(admission, "a")
         for step in range(1, 11):
-            packets.look(step * 0.1)
+            packets.poll(step * 0.1)
             self.assertTrue(all(packets.send("a") for _ in range(1000)))
 
 
--- a/tests/unit/admission/test_refusal.py
+++ b/tests/unit/admission/test_refusal.py
@@ -43,7 +43,7 @@
 
 
 def transport_sum(packet: bytes) -> int:
-    """RFC 1071: a right checksum, pseudo header included, gives 0xFFFF."""
+    """Return the RFC 1071 sum, pseudo header included: 0xFFFF if the checksum is correct."""
     if packet[0] >> 4 == 4:
         protocol, payload, addresses = packet[9], packet[20:], packet[12:20]
     else:
@@ -68,7 +68,7 @@
         self.assertEqual(parsed.dst, ipaddress.ip_address(CLIENT[version]).packed)
         return parsed
 
-    def test_syn_is_reset_with_the_time_to_come_back(self) -> None:
+    def test_syn_is_reset_with_the_retry_time(self) -> None:
         for version in (4, 6):
             with self.subTest(version=version):
                 refusal = build_refusal(
@@ -80,7 +80,7 @@
                 self.assertEqual(reset.flags, dpkt.tcp.TH_RST | dpkt.tcp.TH_ACK)
                 self.assertEqual(reset.data, b"retry-after=3")
 
-    def test_syn_with_data_is_acknowledged_whole(self) -> None:
+    def test_reset_acknowledges_the_data_of_a_syn(self) -> None:
         packet = tcp_packet(4, dpkt.tcp.TH_SYN, b"early", seq=100)
         reset = dpkt.ip.IP(build_refusal(packet, 1.0, RefusalReason.PROHIBITED)).data
         self.assertEqual(reset.ack, 106)
