--- a/src/beamloom/routing/bindings.py
+++ b/src/beamloom/routing/bindings.py
@@ -1,7 +1,7 @@
-"""Bindings: requests that may not be repeated are noted at a replica before they leave.
+"""Bindings: a flow whose requests must not be repeated is first recorded at a replica holder.
 
-The flow's opening packets wait here, bounded in number and bytes, until a replica holder has
-acknowledged the binding. See docs/design/requests.md.
+The flow's packets are held back, bounded in number and bytes, until a replica holder acknowledges
+the binding or all holders have timed out. See docs/design/requests.md.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from beamloom.protocol.flow_messages import BindFlow
 
 RESEND_SECONDS = 0.3
-HOLDER_SECONDS = 1.0
+HOLDER_TIMEOUT_SECONDS = 1.0
 MAXIMUM_FLOWS = 4096
 MAXIMUM_BYTES = 4 << 20
 PACKETS_PER_FLOW = 4
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class PendingBinding:
-    """A binding that no holder has acknowledged; `holders` are still to be tried, in order."""
+    """A binding not yet acknowledged; `holders` are the current and the remaining ones to try."""
 
     backend_number: int
     holders: list[NodeId]
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleasedFlow:
-    """A flow whose packets may leave now."""
+    """A flow whose held packets may be sent."""
 
     key: int
     backend_number: int
@@ -41,7 +41,7 @@
 
 
 class Bindings:
-    """All bindings of this home that wait for an acknowledgement."""
+    """The bindings of this home that are not yet acknowledged."""
 
     def __init__(self) -> None:
         self._pending: dict[int, PendingBinding] = {}
@@ -58,16 +58,16 @@
     def begin(
         self, key: int, backend_number: int, holders: Sequence[NodeId], now: float
     ) -> list[Command]:
-        """Ask the first holder to note a binding; `holders` must not be empty."""
+        """Ask the first holder to record a binding; `holders` must not be empty."""
         pending = PendingBinding(
-            backend_number, list(holders), now + RESEND_SECONDS, now + HOLDER_SECONDS
+            backend_number, list(holders), now + RESEND_SECONDS, now + HOLDER_TIMEOUT_SECONDS
         )
         self.forget(key)
         self._pending[key] = pending
         return [SendMessage(pending.holders[0], BindFlow(key, backend_number))]
 
     def hold(self, key: int, packet: bytes) -> bool:
-        """Keep a packet of a flow that waits; returns whether there was room."""
+        """Hold a packet of a pending flow; returns whether it was within the limits."""
         pending = self._pending.get(key)
         if pending is None or len(pending.packets) >= PACKETS_PER_FLOW:
             return False
@@ -78,14 +78,14 @@
         return True
 
     def acknowledged(self, key: int, backend_number: int) -> ReleasedFlow | None:
-        """Take an acknowledgement; returns the flow whose packets may leave."""
+        """Complete an acknowledged binding; returns the flow whose packets may be sent."""
         pending = self._pending.get(key)
         if pending is None or pending.backend_number != backend_number:
             return None
         return self._release(key)
 
     def forget(self, key: int) -> None:
-        """Drop a flow that waits, with its packets."""
+        """Drop a pending flow and its packets."""
         if key in self._pending:
             self._release(key)
 
@@ -95,13 +95,13 @@
         return ReleasedFlow(key, pending.backend_number, tuple(pending.packets))
 
     def poll(self, now: float) -> tuple[list[Command], list[ReleasedFlow]]:
-        """Resend, go on to the next holder, and release flows whose holders were all silent."""
+        """Resend or try the next holder, and release flows whose holders have all timed out."""
         commands: list[Command] = []
         released: list[ReleasedFlow] = []
         for key, pending in list(self._pending.items()):
             if pending.next_holder_at <= now:
                 pending.holders.pop(0)
-                pending.next_holder_at = pending.resend_at = now + HOLDER_SECONDS
+                pending.next_holder_at = pending.resend_at = now + HOLDER_TIMEOUT_SECONDS
                 if not pending.holders:
                     released.append(self._release(key))
                     continue
--- a/src/beamloom/routing/partitions.py
+++ b/src/beamloom/routing/partitions.py
@@ -1,11 +1,11 @@
 """Partitions: which node is the home of a flow and which nodes hold its replicas.
 
-Rendezvous hashing over the members that may be home. The overall second is the first replica, so
-that after a crash the next home is the node that holds the replicas already; the second replica
-is the best node of another zone than the home's, so that a zone's loss leaves one copy.
+Rendezvous hashing ranks the members that may be home. The node ranked second is the first replica,
+so that after a crash the next home already holds the replicas. The second replica is the best
+remaining node outside the home's zone, so that one copy survives the loss of a zone.
 
-A map built from a previous one recomputes only the partitions that a change can touch: about
-`3 * PARTITION_COUNT / nodes` for each node that came or went.
+A map built from a previous one recomputes only the partitions that a change can affect: about
+`3 * PARTITION_COUNT / nodes` for each node that joined or left.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 )
 
 NO_NODE = -1
-COLUMNS_AT_ONCE = 1024
+PARTITIONS_PER_CHUNK = 1024
 _Indices = npt.NDArray[np.int32]
 
 
@@ -41,15 +41,15 @@
 
     @property
     def replicas(self) -> tuple[NodeId, ...]:
-        """The replica holders that there are, the first one first."""
+        """The replica holders in order, without those that the fleet is too small for."""
         pair = (self.first_replica, self.second_replica)
         return tuple(node_id for node_id in pair if node_id is not None)
 
 
 class PartitionMap:
-    """Home and replicas of all partitions over one set of machines; never changed once built.
+    """Home and replicas of all partitions over one set of machines; immutable once built.
 
-    `previous` saves work where the machines are nearly the same; it does not affect the result.
+    `previous` saves work if the machines are nearly the same; it does not affect the result.
     """
 
     def __init__(self, machines: Sequence[Machine], previous: PartitionMap | None = None) -> None:
@@ -63,10 +63,10 @@
         self.first_replicas = _no_nodes()
         self.second_replicas = _no_nodes()
         if self.machines:
-            self._fill(self._take_over(previous))
+            self._fill(self._copy_unchanged(previous))
 
-    def _take_over(self, previous: PartitionMap | None) -> _Indices:
-        """Copy what cannot have changed and return the partitions to compute."""
+    def _copy_unchanged(self, previous: PartitionMap | None) -> _Indices:
+        """Copy `previous` where it can be reused and return the partitions to compute."""
         everything = np.arange(PARTITION_COUNT, dtype=np.int32)
         if previous is None or len(previous.machines) < 3 or len(self.machines) < 3:
             return everything
@@ -80,13 +80,13 @@
         self.homes, self.first_replicas, self.second_replicas = (
             renumbered[column].astype(np.int32) for column in columns
         )
-        touched = (self.homes < 0) | (self.first_replicas < 0) | (self.second_replicas < 0)
+        affected = (self.homes < 0) | (self.first_replicas < 0) | (self.second_replicas < 0)
         if joined:
-            touched |= self._zones[self.homes] == self._zones[self.second_replicas]
+            affected |= self._zones[self.homes] == self._zones[self.second_replicas]
             lowest = previous._lowest_scores()
             for node_id in joined:
-                touched |= rendezvous_scores(PARTITION_COUNT, name_seed(node_id)) > lowest
-        return np.flatnonzero(touched).astype(np.int32)
+                affected |= rendezvous_scores(PARTITION_COUNT, name_seed(node_id)) > lowest
+        return np.flatnonzero(affected).astype(np.int32)
 
     def _lowest_scores(self) -> Scores:
         """Return the lowest score among the three holders of each partition."""
@@ -97,10 +97,10 @@
         return lowest
 
     def _fill(self, partitions: _Indices) -> None:
-        for start in range(0, len(partitions), COLUMNS_AT_ONCE):
-            self._fill_columns(partitions[start : start + COLUMNS_AT_ONCE])
+        for start in range(0, len(partitions), PARTITIONS_PER_CHUNK):
+            self._fill_chunk(partitions[start : start + PARTITIONS_PER_CHUNK])
 
-    def _fill_columns(self, partitions: _Indices) -> None:
+    def _fill_chunk(self, partitions: _Indices) -> None:
         scores = rendezvous_matrix(partitions[None, :], self._seeds[:, None])
         columns = np.arange(len(partitions))
         homes = scores.argmax(axis=0)
--- a/src/beamloom/routing/placement.py
+++ b/src/beamloom/routing/placement.py
@@ -2,8 +2,8 @@
 
 Weighted rendezvous hashing (Thaler and Ravishankar 1998; Schindelhauer and Schomaker 2005) with
 bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018): each backend takes at most its weight's
-share of the slots, rounded up. Pairs of slot and backend are taken best score first, so a change
-of one backend moves few slots besides its own. A pure function: the same on every node.
+share of the slots, rounded up. Pairs of slot and backend are assigned in order of their score, so a
+change of one backend moves few slots besides its own. Every node computes the same table.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
     """Compute the candidates of every slot; draining backends and those of weight 0 get none."""
     backends = [backend for backend in generation.backends if _takes_new_flows(backend)]
     if not backends:
-        nobody = (NO_CANDIDATE,) * SLOT_COUNT
-        return PlacementTable(generation.revision, nobody, nobody)
+        no_candidates = (NO_CANDIDATE,) * SLOT_COUNT
+        return PlacementTable(generation.revision, no_candidates, no_candidates)
     costs = _slot_costs(backends)
     first = _assign_bounded(costs, _slot_capacities(backends))
     second = _best_other(costs, first)
@@ -69,19 +69,19 @@
 def _assign_bounded(
     costs: np.ndarray[tuple[int, int], np.dtype[np.float64]], capacities: list[int]
 ) -> list[int]:
-    """Give each slot its cheapest backend with room, taking the cheapest pairs first."""
+    """Assign each slot a backend below its capacity, taking the cheapest pairs first."""
     backend_count = costs.shape[1]
     assigned = [NO_CANDIDATE] * SLOT_COUNT
-    room = list(capacities)
-    missing = SLOT_COUNT
+    remaining = list(capacities)
+    unassigned = SLOT_COUNT
     for pair in np.argsort(costs, axis=None, kind="stable").tolist():
         slot, backend = divmod(pair, backend_count)
-        if assigned[slot] != NO_CANDIDATE or not room[backend]:
+        if assigned[slot] != NO_CANDIDATE or not remaining[backend]:
             continue
         assigned[slot] = backend
-        room[backend] -= 1
-        missing -= 1
-        if not missing:
+        remaining[backend] -= 1
+        unassigned -= 1
+        if not unassigned:
             break
     return assigned
 
@@ -89,7 +89,7 @@
 def _best_other(
     costs: np.ndarray[tuple[int, int], np.dtype[np.float64]], first: list[int]
 ) -> list[int]:
-    """Return each slot's cheapest backend besides its first, or NO_CANDIDATE."""
+    """Return each slot's cheapest backend other than its first, or NO_CANDIDATE."""
     if costs.shape[1] == 1:
         return [NO_CANDIDATE] * SLOT_COUNT
     others = costs.copy()
--- a/src/beamloom/routing/selection.py
+++ b/src/beamloom/routing/selection.py
@@ -23,7 +23,7 @@
 
 
 class PlacementReason(IntEnum):
-    """Why a flow is where it is."""
+    """Why a flow was placed on its backend."""
 
     BASE_GENERATION = 0
     FIRST_CANDIDATE = 1
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """A backend number, or NO_CANDIDATE, and why."""
+    """The chosen backend's number, or NO_CANDIDATE, and the reason."""
 
     backend_number: int
     reason: PlacementReason
@@ -55,14 +55,15 @@
     excluded: int = NO_CANDIDATE,
     preferred: int = NO_CANDIDATE,
 ) -> Choice:
-    """Choose the backend of a new flow; `excluded` has refused it already.
+    """Choose the backend of a new flow.
 
-    `preferred` takes it where it is fit: a dead home may have placed the flow there.
+    `excluded` has already refused the flow. `preferred` is chosen if it is fit: a failed home may
+    have placed the flow there.
 
-    The first of the slot's two candidates that has room takes it. A backend has room while it
-    holds no more than its share of this home's flows, rounded up; with preference `stickiness`
-    it may exceed its share by the service's bound. A candidate that is draining, offline or
-    shedding is passed over; when neither has room, the least loaded fit backend takes the flow.
+    Otherwise the first of the slot's two candidates that is fit and has room is chosen; a draining,
+    offline or shedding backend is not fit. A backend has room up to its share of this home's flows,
+    raised to the next greater integer; with preference `stickiness` it may exceed its share by the
+    service's bound. When neither candidate has room, the least loaded fit backend is chosen.
     """
     shares = _shares(service, health, excluded)
     if not shares:
@@ -114,8 +115,8 @@
 def _least_loaded(service: ServiceRoute, shares: dict[int, float], slot: int) -> int:
     """Return the fit backend with the fewest open flows for its share; the slot breaks ties.
 
-    Ties are common where a home has few flows of a service. An order that all homes share would
-    send every such flow of the fleet to the same backend.
+    Ties are common if a home has few flows of a service. With one order for all homes, every such
+    flow of the fleet would go to the same backend.
     """
     seed = slot.to_bytes(SLOT_BYTES, "big")
     return min(
@@ -130,9 +131,9 @@
 def _has_room(service: ServiceRoute, shares: dict[int, float], number: int) -> bool:
     """Whether one more flow leaves a backend within its bounded share of this home's flows.
 
-    A share is rounded to the next greater whole flow, so that some backend always has room
-    (Mirrokni, Thorup and Zadimoghaddam 2018). A whole share has one more: where a service has few
-    flows at this home, its short requests would all go to one backend otherwise.
+    A share is raised to the next greater integer, so that some backend always has room (Mirrokni,
+    Thorup and Zadimoghaddam 2018). An integer share also gains one: otherwise the short requests of
+    a service with few flows at this home would all go to one backend.
     """
     total_flows = sum(service.open_flows.get(item, 0) for item in shares) + 1
     share = total_flows * shares[number] / sum(shares.values())
@@ -145,5 +146,5 @@
 
 
 def _imbalance_bound(service: ServiceRoute) -> float:
-    """Return by how much a backend may exceed its share; with `balance`, by rounding alone."""
+    """Return the fraction by which a backend may exceed its share; 0 with `balance`."""
     return 0.0 if _prefers_balance(service) else service.contract.policy.placement_imbalance_bound
--- a/tests/unit/routing/test_selection.py
+++ b/tests/unit/routing/test_selection.py
@@ -1,4 +1,4 @@
-"""Homes keep backends even by their own flows alone, also where each has few of them."""
+"""Homes balance backends by their own flows alone, even if each home has few of them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Health(AssumedHealth):
-    """Some backends are offline; the weight of backend 2 has a factor."""
+    """Reports some backends offline and a weight factor for backend 2."""
 
     def __init__(self, offline: frozenset[int] = frozenset(), factor: float = 1.0) -> None:
         self._offline = offline
@@ -33,7 +33,7 @@
 
 
 class Homes:
-    """Several homes of one service that do not hear of each other's flows."""
+    """Several homes of one service, each unaware of the others' flows."""
 
     def __init__(self, count: int, preference: PlacementPreference, seed: int) -> None:
         self.random = random.Random(seed)
@@ -70,13 +70,13 @@
     def test_open_flows_are_even(self) -> None:
         self.assert_balanced(6, 350, 1.06, Health())
 
-    def test_ties_of_many_homes_do_not_fall_on_one_backend(self) -> None:
+    def test_ties_of_many_homes_are_spread_over_backends(self) -> None:
         self.assert_balanced(48, 350, 1.18, Health())
 
-    def test_a_false_weight_moves_no_more_than_its_bound(self) -> None:
+    def test_wrong_weight_factor_causes_bounded_imbalance(self) -> None:
         self.assert_balanced(6, 350, 1.15, Health(factor=1.125))
 
-    def test_lost_backend_is_shared_out_evenly(self) -> None:
+    def test_flows_of_an_offline_backend_are_spread_evenly(self) -> None:
         health = Health(offline=frozenset({1}))
         self.assert_balanced(6, 350, 1.06, health)
 
--- a/tests/unit/test_partitions.py
+++ b/tests/unit/test_partitions.py
@@ -1,4 +1,4 @@
-"""Partitions: after a crash the next home holds the replicas, and a zone's loss leaves one copy."""
+"""Partitions: the next home after a crash is a replica, and one copy survives a zone's loss."""
 
 import random
 import unittest
@@ -42,12 +42,12 @@
             self.assertNotEqual(zones[holders.home], zones[holders.second_replica])
 
     def test_a_map_built_from_another_equals_one_built_anew(self) -> None:
-        chance = random.Random(1)
+        rng = random.Random(1)
         members = list(FLEET)
         placed = PartitionMap(members)
         for step in range(12):
-            leaving = chance.sample(members, chance.randrange(3))
-            joining = [machine(100 + 3 * step + n, f"zone-{n}") for n in range(chance.randrange(3))]
+            leaving = rng.sample(members, rng.randrange(3))
+            joining = [machine(100 + 3 * step + n, f"zone-{n}") for n in range(rng.randrange(3))]
             members = [item for item in members if item not in leaving] + joining
             placed, anew = PartitionMap(members, placed), PartitionMap(members)
             self.assertEqual(placed.homes.tolist(), anew.homes.tolist())
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement is the same everywhere, bounded, and moves little when one backend changes."""
+"""Placement is bounded by weight and moves few slots when one backend changes."""
 
 import unittest
 from collections import Counter
