--- a/src/beamloom/routing/home.py
+++ b/src/beamloom/routing/home.py
@@ -1,7 +1,8 @@
-"""Decisions of a home: entries of flows, exceptions to the base generation, and their reasons.
+"""Flow state of a home: entries, exceptions to the base placement, and their reasons.
 
-*Unknown means base*: for each partition that it owns, a home holds every live flow that is not
-where the generation at the partition's base revision places it. These are the exceptions.
+A flow without an entry is assumed to be on the backend on which the generation at its partition's
+base revision places it. For each partition that it owns, a home stores every live flow of which
+this is not true, and all flows of services that bind first. These are the exceptions.
 """
 
 from __future__ import annotations
@@ -21,18 +22,18 @@
 CACHE_LEASE_SECONDS = 30.0
 CLOSED_SECONDS = 10.0
 BOTH_CLOSED = FlowFlag.CLIENT_CLOSED | FlowFlag.BACKEND_CLOSED
-_UNSET = 0xFF
-_OPEN_HOME = int(FlowFlag.HOME)
+_FLAGS_MASK = 0xFF
+_HOME_FLAG = int(FlowFlag.HOME)
 
 
 class ExceptionListener(Protocol):
-    """Who must hear of exceptions: replicas and transfers."""
+    """Receives each exception that is added or removed, to replicate or transfer it."""
 
-    def exception_noted(self, key: int, backend_number: int, now: float) -> None:
-        """Take a flow that is not where the base places it."""
+    def exception_added(self, key: int, backend_number: int, now: float) -> None:
+        """Handle a new exception."""
 
-    def exception_ended(self, key: int, replicated: bool) -> None:
-        """Take the end of such a flow."""
+    def exception_removed(self, key: int, replicated: bool) -> None:
+        """Handle the end of an exception; `replicated` is whether replica holders have it."""
 
 
 class Home:
@@ -49,28 +50,29 @@
         self.listeners: list[ExceptionListener] = []
         self.deadlines = FlowDeadlines()
 
-    # -- what the base says ----------------------------------------------------------------------
+    # -- base placement --------------------------------------------------------------------------
 
     def base_backend(self, service: ServiceRoute, key: int) -> int:
-        """Return where the base generation of the flow's partition places it."""
+        """Return the backend on which the base generation of its partition places a flow."""
         owned = self.ownership.owned.get(partition_of(key))
         revision = self.routes.revision if owned is None else owned.base
-        return service.placed_by(revision, slot_of(key))
+        return service.backend_at(revision, slot_of(key))
 
     def knows_every_flow(self, service: ServiceRoute, partition: int, now: float) -> bool:
         """Whether each live flow of a service in an owned partition must have an entry here.
 
-        A flow shows itself to its home at least once a lease; a silent one ends at its timeout.
+        The home receives a packet of each active flow at least once per cache lease; an idle flow
+        ends at its timeout.
         """
         owned = self.ownership.owned[partition]
         if owned.acquisition is Acquisition.FRESH:
             return True
-        return now - owned.since >= knowledge_seconds(service)
+        return now - owned.since >= discovery_seconds(service)
 
     # -- entries ---------------------------------------------------------------------------------
 
     def known_row(self, key: int, service: ServiceRoute, now: float) -> int | None:
-        """Return the row of a known flow of this service; a leased copy becomes the home's own."""
+        """Return the row of a known flow of this service; a leased copy becomes a home entry."""
         row = self.table.rows.get(key)
         if row is None:
             return None
@@ -78,7 +80,7 @@
         if route is None or route.service is not service:
             self.forget(key)
             return None
-        if self.table.flags[row] & _OPEN_HOME:
+        if self.table.flags[row] & _HOME_FLAG:
             return row
         if self.table.deadline[row] <= now:
             self.table.remove(key)
@@ -93,8 +95,8 @@
     ) -> Choice:
         """Choose the backend of a new flow.
 
-        For a while after a crash the base's backend comes first: the dead home most likely placed
-        a flow there whose SYN is retransmitted now.
+        For GRACE_SECONDS after a crash the backend of the base placement is preferred: if the SYN
+        is a retransmission, the former home most likely placed the flow there.
         """
         owned = self.ownership.owned[partition_of(key)]
         crashed = owned.acquisition is Acquisition.CRASH
@@ -112,7 +114,7 @@
         )
 
     def enter(self, key: int, choice: Choice, service: ServiceRoute, flags: int, now: float) -> int:
-        """Enter a flow at its home and return its row."""
+        """Insert the entry of a flow at its home and return its row."""
         known = self.deadlines.take(key)
         self.forget(key)
         number = choice.backend_number
@@ -121,12 +123,12 @@
             if self.deadlines.set(key, known, known.began + service.deadline):
                 flags |= FlowFlag.DEADLINE
         deadline = now + service.contract.policy.flow_idle_timeout
-        row = self.table.insert(key, number, _OPEN_HOME | flags, deadline, now)
+        row = self.table.insert(key, number, _HOME_FLAG | flags, deadline, now)
         service.open_flows[number] = service.open_flows.get(number, 0) + 1
         if self._is_exception(key, number, service):
             self.exceptions.setdefault(partition_of(key), {})[key] = choice.reason
             for listener in self.listeners:
-                listener.exception_noted(key, number, now)
+                listener.exception_added(key, number, now)
         return row
 
     def _is_exception(self, key: int, number: int, service: ServiceRoute) -> bool:
@@ -137,27 +139,27 @@
         return self.table.backend[row]
 
     def lift_deadline(self, key: int, row: int) -> None:
-        """Take a flow's deadline away, unless it has passed."""
+        """Cancel a flow's deadline, unless it has passed."""
         if self.deadlines.take(key) is not None:
-            self.table.flags[row] &= ~FlowFlag.DEADLINE & _UNSET
+            self.table.flags[row] &= ~FlowFlag.DEADLINE & _FLAGS_MASK
 
     def forget(self, key: int) -> None:
-        """Remove a flow's entry, counting it as ended where it was the home's."""
+        """Remove a flow's entry; a home entry is counted as ended."""
         row = self.table.rows.get(key)
         if row is None:
             return
         flags = self.table.flags[row]
         if flags & FlowFlag.DEADLINE:
             self.deadlines.take(key)
-        if flags & _OPEN_HOME:
+        if flags & _HOME_FLAG:
             self._count_ended(row)
             self._end_exception(key, bool(flags & FlowFlag.REPLICATED))
         self.table.remove(key)
 
     def close(self, row: int, sides: int, now: float) -> bool:
-        """Note which sides closed a flow; returns whether it is over.
+        """Record which sides closed a flow; returns whether both have.
 
-        A flow that is over is open no more, though its entry stays for what is retransmitted.
+        Such a flow no longer counts as open, but its entry is kept for retransmitted packets.
         """
         if self.is_over(row):
             return True
@@ -173,7 +175,7 @@
         return self.table.flags[row] & BOTH_CLOSED == BOTH_CLOSED
 
     def _count_ended(self, row: int) -> None:
-        """Count a flow as ended, unless it was when both sides closed it."""
+        """Count a flow as ended, unless both sides closed it and it was counted then."""
         number = self.table.backend[row]
         route = self.routes.backends.get(number)
         if route is not None and not self.is_over(row):
@@ -186,7 +188,7 @@
         if found is None or found.pop(key, None) is None:
             return
         for listener in self.listeners:
-            listener.exception_ended(key, replicated)
+            listener.exception_removed(key, replicated)
 
     # -- whole partitions ------------------------------------------------------------------------
 
@@ -196,12 +198,12 @@
         keys = self.exceptions.get(partition, {})
         return {key: self.table.backend[rows[key]] for key in keys if key in rows}
 
-    def take_records(self, records: Mapping[int, int], reason: PlacementReason, now: float) -> None:
-        """Enter flows that another node told of, unless they are known here."""
+    def add_records(self, records: Mapping[int, int], reason: PlacementReason, now: float) -> None:
+        """Enter flows from replicas or transfers; home entries are replaced only if guessed."""
         for key, number in records.items():
             route = self.routes.backends.get(number)
             row = self.table.rows.get(key)
-            known = row is not None and self.table.flags[row] & _OPEN_HOME
+            known = row is not None and self.table.flags[row] & _HOME_FLAG
             guessed = row is not None and self.table.flags[row] & FlowFlag.GUESSED
             if route is None or (known and not guessed):
                 continue
@@ -209,23 +211,26 @@
             self.enter(key, Choice(number, reason), route.service, FlowFlag.PAYLOAD_SENT, now)
 
     def demote(self, partitions: Iterable[int], now: float) -> None:
-        """Turn the entries of partitions that are handed over into leased copies."""
+        """Turn the home entries of partitions that are handed over into leased copies."""
         for key, row in self.table.rows_in(partitions):
-            if not self.table.flags[row] & _OPEN_HOME:
+            if not self.table.flags[row] & _HOME_FLAG:
                 continue
             self._count_ended(row)
             self.lift_deadline(key, row)
-            self.table.flags[row] &= ~(FlowFlag.HOME | FlowFlag.REPLICATED | FlowFlag.HELD) & _UNSET
+            self.table.flags[row] &= (
+                ~(FlowFlag.HOME | FlowFlag.REPLICATED | FlowFlag.HELD) & _FLAGS_MASK
+            )
             if self.table.flags[row] & BOTH_CLOSED != BOTH_CLOSED:
                 self.table.deadline[row] = now + CACHE_LEASE_SECONDS
         for partition in partitions:
             self.exceptions.pop(partition, None)
 
-    def move_bases(self, partitions: Iterable[int], now: float) -> dict[int, set[int]]:
-        """Move bases to the current revision where every live flow is known.
+    def advance_bases(self, partitions: Iterable[int], now: float) -> dict[int, set[int]]:
+        """Advance bases to the current revision where every live flow is known.
 
-        Only where that leaves no more exceptions than before. Returns the partitions moved,
-        each with the keys that are exceptions no more; their replicas must be sent anew.
+        A base stays if advancing it would add exceptions. Returns the partitions whose base
+        advanced, each with the keys that are no longer exceptions; the caller must resend their
+        replicas.
         """
         services = list(self.routes.by_service_number.values())
         ready = [
@@ -239,11 +244,11 @@
         flows: dict[int, list[tuple[int, int]]] = {partition: [] for partition in ready}
         for key, row in self.table.rows_in(ready):
             flows[partition_of(key)].append((key, row))
-        moved = {item: self._move_base(item, flows[item]) for item in ready}
+        moved = {item: self._advance_base(item, flows[item]) for item in ready}
         return {item: dropped for item, dropped in moved.items() if dropped is not None}
 
-    def _move_base(self, partition: int, flows: list[tuple[int, int]]) -> set[int] | None:
-        """Move one base; returns the keys that are exceptions no more, or None if it stays."""
+    def _advance_base(self, partition: int, flows: list[tuple[int, int]]) -> set[int] | None:
+        """Advance one base; returns the keys no longer exceptions, or None if it stays."""
         owned = self.ownership.owned[partition]
         before, known = owned.base, self.exceptions.get(partition, {})
         owned.base = self.routes.revision
@@ -251,7 +256,7 @@
         for key, row in flows:
             number = self.table.backend[row]
             route = self.routes.backends.get(number)
-            home_entry = self.table.flags[row] & _OPEN_HOME
+            home_entry = self.table.flags[row] & _HOME_FLAG
             if home_entry and route and self._is_exception(key, number, route.service):
                 after[key] = known.get(key, PlacementReason.BASE_GENERATION)
         if len(after) > len(known):
@@ -261,12 +266,15 @@
         return known.keys() - after.keys()
 
 
-def knowledge_seconds(service: ServiceRoute) -> float:
-    """Return after how long a home knows every live flow of a service."""
+def discovery_seconds(service: ServiceRoute) -> float:
+    """Return how long after acquiring a partition a home knows every live flow of a service."""
     policy = service.contract.policy
     return min(policy.flow_idle_timeout + CACHE_LEASE_SECONDS, policy.flow_maximum_age)
 
 
 def lease_seconds(service: ServiceRoute) -> float:
-    """Return how long a cached copy may serve, so that the home sees a flow before it lapses."""
+    """Return the lease of a cached copy, at most half the idle timeout.
+
+    The home thus receives a packet of an active flow before its entry times out.
+    """
     return min(CACHE_LEASE_SECONDS, service.contract.policy.flow_idle_timeout / 2)
--- a/src/beamloom/routing/replica_sender.py
+++ b/src/beamloom/routing/replica_sender.py
@@ -1,8 +1,8 @@
-"""A home's side of replicas: which holder has been sent what.
+"""Replication of exceptions from a home to the replica holders of its partitions.
 
-Exceptions older than `EXCEPTION_AGE_SECONDS` go to both holders of their partition, in batches
-about every `FLUSH_SECONDS`; the end of a flow whose exception was sent follows as a removal. A
-holder that is new to a partition is sent all of it, between BEGIN and COMPLETE.
+Exceptions older than `EXCEPTION_AGE_SECONDS` are sent to both holders of their partition, in
+batches about every `FLUSH_SECONDS`; when a replicated exception ends, a removal is sent. A new
+holder of a partition is sent all its exceptions, between BEGIN and COMPLETE.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 EXCEPTION_AGE_SECONDS = 1.5
 FLUSH_SECONDS = 0.5
 MAXIMUM_BATCHES_IN_FLIGHT = 4
-HOLDERS = 2
+HOLDERS_PER_PARTITION = 2
 
 
 class ReplicaSender:
@@ -33,18 +33,20 @@
         self._ownership = ownership
         self._home = home
         self._holders: dict[int, tuple[NodeId, ...]] = {}
-        self._young: deque[tuple[float, int]] = deque()
+        self._new_exceptions: deque[tuple[float, int]] = deque()
         self._flush_due = 0.0
 
     def holders(self, partition: int) -> tuple[NodeId, ...]:
-        """Return the live nodes that hold, or are to hold, the replicas of an owned partition."""
+        """Return the live nodes that are to hold the replicas of an owned partition."""
         placed = self._ownership.map.holders(partition)
         nodes = (placed.home, placed.first_replica, placed.second_replica)
         others = [node for node in nodes if node is not None and node != self._ownership.node_id]
-        return tuple(node for node in others[:HOLDERS] if self._ownership.answers(node))
+        return tuple(
+            node for node in others[:HOLDERS_PER_PARTITION] if self._ownership.answers(node)
+        )
 
     def members_changed(self) -> None:
-        """Send all of a partition to each holder that is new to it."""
+        """Send each owned partition in full to its new holders."""
         for peer in {peer for holders in self._holders.values() for peer in holders}:
             if not self._ownership.answers(peer):
                 self.streams.forget(peer)
@@ -53,10 +55,10 @@
         for partition in owned:
             self.synchronize(partition)
 
-    def synchronize(self, partition: int, anew: bool = False) -> None:
-        """Bring the holders of a partition up to date; `anew` sends it also to those that were."""
+    def synchronize(self, partition: int, resend_all: bool = False) -> None:
+        """Send a partition in full to its new holders, or to all of them with `resend_all`."""
         holders = self.holders(partition)
-        before = () if anew else self._holders.get(partition, ())
+        before = () if resend_all else self._holders.get(partition, ())
         self._holders[partition] = holders
         new = [holder for holder in holders if holder not in before]
         if not new:
@@ -70,33 +72,33 @@
             stream.closings[partition] = PartitionNote(PartitionMark.COMPLETE, base)
         self._mark_replicated(records)
 
-    def base_moved(self, partition: int, dropped: Iterable[int]) -> None:
-        """Send a partition anew after its base moved, without what still waited of `dropped`."""
+    def base_advanced(self, partition: int, dropped: Iterable[int]) -> None:
+        """Resend a partition after its base advanced, without queued records of `dropped` keys."""
         for holder in self._holders.get(partition, ()):
             waiting = self.streams.stream(holder).records
             for key in dropped:
                 waiting.pop(key, None)
-        self.synchronize(partition, anew=True)
+        self.synchronize(partition, resend_all=True)
 
     def _mark_replicated(self, keys: Iterable[int]) -> None:
         table = self._home.table
         for key in keys:
             table.flags[table.rows[key]] |= FlowFlag.REPLICATED
 
-    def exception_noted(self, key: int, backend_number: int, now: float) -> None:
-        """Remember a new exception until it is old enough to be worth a record."""
-        self._young.append((now + EXCEPTION_AGE_SECONDS, key))
+    def exception_added(self, key: int, backend_number: int, now: float) -> None:
+        """Queue a new exception until it is old enough to be replicated."""
+        self._new_exceptions.append((now + EXCEPTION_AGE_SECONDS, key))
 
-    def exception_ended(self, key: int, replicated: bool) -> None:
-        """Send the removal of an exception that holders were told of."""
+    def exception_removed(self, key: int, replicated: bool) -> None:
+        """Queue the removal of an exception if it was replicated."""
         if replicated:
             for holder in self._holders.get(partition_of(key), ()):
                 self.streams.put(holder, key, ENDED)
 
     def poll(self, now: float) -> list[Command]:
-        """Queue exceptions that have come of age and send what is due."""
-        while self._young and self._young[0][0] <= now:
-            self._replicate(self._young.popleft()[1])
+        """Replicate exceptions that are old enough and send due batches."""
+        while self._new_exceptions and self._new_exceptions[0][0] <= now:
+            self._replicate(self._new_exceptions.popleft()[1])
         if self._flush_due > now:
             return []
         self._flush_due = now + FLUSH_SECONDS
@@ -114,6 +116,6 @@
         self._mark_replicated((key,))
 
     def acknowledged(self, peer: NodeId, number: int, now: float) -> list[Command]:
-        """Take an acknowledgement; what waits for this peer goes at once."""
+        """Handle an acknowledgement and send queued batches at once."""
         self.streams.acknowledge(peer, number)
         return self.streams.flush(now)
--- a/src/beamloom/routing/replicas.py
+++ b/src/beamloom/routing/replicas.py
@@ -1,7 +1,7 @@
 """Replicas held for other homes: exceptions and base revisions, by partition.
 
-A holder keeps what the home sent until another home has replaced it, until the holder itself
-becomes home, or until it is no longer a holder and the home lives.
+A holder keeps the records until a new home has replaced them, until it owns the partition itself,
+or until it is no longer a holder and the home is alive.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 class HeldPartition:
     """Replicas of one partition.
 
-    `records` maps flow keys to backend numbers; `base` is None until the home told it;
-    `unrefreshed` holds, between BEGIN and COMPLETE, the keys that the home has not repeated;
+    `records` maps flow keys to backend numbers; `base` is None until a mark has set it;
+    `unrefreshed` holds, between BEGIN and COMPLETE, the keys that the home has not resent;
     `unneeded` is set once a sweep has found that this node need not hold the partition.
     """
 
@@ -46,19 +46,19 @@
         return sum(len(held.records) for held in self._held.values())
 
     def items(self) -> Iterator[tuple[int, HeldPartition]]:
-        """Yield each partition with what is held of it, over a copy."""
+        """Yield each partition and its replicas; the store may change meanwhile."""
         return iter(list(self._held.items()))
 
     def get(self, partition: int) -> HeldPartition | None:
-        """Return what is held of a partition."""
+        """Return the replicas of a partition."""
         return self._held.get(partition)
 
     def take(self, partition: int) -> HeldPartition | None:
-        """Remove and return what is held of a partition."""
+        """Remove and return the replicas of a partition."""
         return self._held.pop(partition, None)
 
     def put(self, sender: NodeId, partition: int, key: int, backend_number: int) -> None:
-        """Take one record, or the removal of one."""
+        """Store one record, or remove it if its backend number is ENDED."""
         held = self._held.setdefault(partition, HeldPartition(sender))
         held.unrefreshed.discard(key)
         if backend_number == ENDED:
@@ -66,8 +66,8 @@
         else:
             held.records[key] = backend_number
 
-    def mark(self, sender: NodeId, partition: int, note: PartitionNote) -> None:
-        """Take what a home says of a whole partition."""
+    def apply_note(self, sender: NodeId, partition: int, note: PartitionNote) -> None:
+        """Apply a mark that concerns a whole partition."""
         held = self._held.setdefault(partition, HeldPartition(sender))
         if note.mark is PartitionMark.BEGIN:
             held.home = sender
@@ -80,7 +80,7 @@
             self._complete(held, note.base)
 
     def sweep(self, is_needed: Callable[[int, HeldPartition], bool]) -> None:
-        """Drop what two sweeps in a row have found not to be needed: lists of members lag."""
+        """Drop partitions that two sweeps in a row found unneeded, as member lists may lag."""
         for partition, held in self.items():
             if is_needed(partition, held):
                 held.unneeded = False
--- a/src/beamloom/routing/services.py
+++ b/src/beamloom/routing/services.py
@@ -1,4 +1,4 @@
-"""Services and backends in the form that forwarding reads."""
+"""Services and backends, indexed for forwarding."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(slots=True)
 class ServiceRoute:
-    """One service: its contract, the tables of its generations and its senders' addresses.
+    """One service: its contract, the tables of its generations and its backends' addresses.
 
-    Tables are built when first asked for; `open_flows` counts, by backend number, the flows that
-    this node is home of; `meter` is the tenant's. The last five
-    repeat parts of the contract for the hot path; `deadline` is in seconds, 0 where there is none.
+    Tables are built on first use; `open_flows` counts, by backend number, the flows that this node
+    is home of; `meter` is the tenant's. The fields from `idle_timeout` to `protocol` repeat parts
+    of the contract for the hot path; `deadline` is in seconds, 0 for none.
     """
 
     contract: ServiceContract
@@ -42,10 +42,10 @@
 
     @property
     def binds_first(self) -> bool:
-        """Whether a flow must be bound at a replica before its first packet leaves.
+        """Whether a flow must be bound at a replica before its first packet is sent.
 
-        TCP needs no binding: a backend without the connection resets what reaches it by mistake
-        and runs nothing (RFC 9293, 3.10.7.1). A datagram would run again.
+        TCP needs no binding: a backend without the connection answers a misrouted segment with a
+        reset and does not process it (RFC 9293, 3.10.7.1). A datagram would be processed again.
         """
         never = self.contract.policy.request_repeat is RepeatPolicy.NEVER
         return never and self.contract.virtual_address.protocol is TransportProtocol.UDP
@@ -63,8 +63,8 @@
                 return generation
         return generations[0]
 
-    def placed_by(self, revision: int, slot: int) -> int:
-        """Return where the generation in force at `revision` places a slot."""
+    def backend_at(self, revision: int, slot: int) -> int:
+        """Return the backend on which the generation in force at `revision` places a slot."""
         return self.table(self.generation_at(revision)).first[slot]
 
 
@@ -88,7 +88,7 @@
         self.revision = 0
 
     def numbers_lost(self, changed: Iterable[ServiceContract], removed: Iterable[int]) -> set[int]:
-        """Return the backends in force that these changes would put out of force."""
+        """Return the numbers of the current backends that these changes would remove."""
         lost: set[int] = set()
         for contract in changed:
             lost |= self._numbers_of(contract.service_number)
@@ -104,7 +104,7 @@
         return {backend.backend_number for backend in route.contract.backends}
 
     def update(self, contracts: Iterable[ServiceContract]) -> None:
-        """Put new or changed services in force."""
+        """Add new services and replace changed ones."""
         for contract in contracts:
             self._put(contract)
 
@@ -132,7 +132,7 @@
             )
 
     def remove(self, service_number: int) -> None:
-        """Take a service out of force; unknown numbers are ignored."""
+        """Remove a service; unknown numbers are ignored."""
         route = self.by_service_number.pop(service_number, None)
         if route is None:
             return
@@ -144,7 +144,7 @@
             self.backends.pop(backend.backend_number, None)
 
     def has_backend(self, number: int) -> bool:
-        """Whether a candidate number names a backend that is still in force."""
+        """Whether a candidate number is that of a current backend."""
         return number != NO_CANDIDATE and number in self.backends
 
 
--- a/tests/unit/routing/test_evidence.py
+++ b/tests/unit/routing/test_evidence.py
@@ -1,4 +1,4 @@
-"""What a home sees of backends contradicts what these report of themselves."""
+"""Answer times and refusals that a home observes override what backends report."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from tests.unit.backend_status.fleet import Fleet as WatcherFleet
 from tests.unit.routing.fleet import ACK, GATEWAY, RST, SYN, Fleet, answer, backend, service, tcp
 
-LIAR = 1
+MISREPORTING = 1
 BACKENDS = [[backend(number) for number in range(1, 6)]]
 NODE = NodeId("node-0")
 
 
 class RealHealthCase(unittest.TestCase):
-    """One forwarder with the watchers' own view of backends; `load` is what the liar reports."""
+    """One forwarder with the watchers' view of backends; one backend reports `load`."""
 
     load = 0.5
 
@@ -29,7 +29,7 @@
         contract = service(BACKENDS)
         self.watchers = WatcherFleet(3, [contract])
         self.watchers.checked = lambda node, number, now: BackendChecked(
-            number, True, False, (self.load if number == LIAR else 0.5) + now / 1e6, 0.005
+            number, True, False, (self.load if number == MISREPORTING else 0.5) + now / 1e6, 0.005
         )
         self.watchers.run(300.0)
         self.health = ObservedHealth(self.watchers.nodes[NODE], self.watchers.now)
@@ -43,32 +43,32 @@
         self.watchers.run(seconds)
         self.health.now = self.fleet.now
 
-    def view(self, number: int = LIAR) -> BackendView:
+    def view(self, number: int = MISREPORTING) -> BackendView:
         return self.watchers.nodes[NODE].status(number, self.fleet.now)
 
 
 class AnswerTimeTest(RealHealthCase):
     load = 5.0
 
-    def ask(self, client: int, seconds: float) -> None:
+    def send_request(self, client: int, seconds: float) -> None:
         address = self.fleet.open(client)
         self.fleet.answer(answer(client, SYN | ACK), address)
         self.fleet.reach(client)
         self.pass_time(seconds)
         self.fleet.answer(answer(client, ACK, payload=b"answer"), address)
 
-    def test_a_false_report_of_load_loses_its_say(self) -> None:
+    def test_load_report_contradicted_by_answer_times_is_ignored(self) -> None:
         self.assertEqual(self.view().weight_factor, 0.25)
         for client in range(600):
-            self.ask(client, 0.05)
+            self.send_request(client, 0.05)
         self.pass_time(3.0)
         self.assertEqual(self.view().weight_factor, 1.0)
         self.assertIn("contradicts", self.view().reason)
 
-    def test_a_true_report_keeps_its_say(self) -> None:
+    def test_load_report_confirmed_by_answer_times_is_applied(self) -> None:
         for client in range(300):
-            slow = self.fleet.open(client) == backend(LIAR).data_address
-            self.ask(client, 0.3 if slow else 0.05)
+            slow = self.fleet.open(client) == backend(MISREPORTING).data_address
+            self.send_request(client, 0.3 if slow else 0.05)
         self.pass_time(3.0)
         self.assertEqual(self.view().weight_factor, 0.25)
 
@@ -93,23 +93,23 @@
 
 
 class RefusedConnectionTest(RealHealthCase):
-    def to_liar(self, client: int) -> bool:
-        return self.fleet.open(client) == backend(LIAR).data_address
+    def reaches_misreporting(self, client: int) -> bool:
+        return self.fleet.open(client) == backend(MISREPORTING).data_address
 
     def refuse(self, client: int) -> list[SocketAddress]:
-        return self.fleet.answer(answer(client, RST | ACK), backend(LIAR).data_address)
+        return self.fleet.answer(answer(client, RST | ACK), backend(MISREPORTING).data_address)
 
-    def test_a_backend_that_refuses_while_it_reports_health_gets_no_new_flows(self) -> None:
-        clients = [client for client in range(100) if self.to_liar(client)]
+    def test_backend_that_refuses_but_reports_healthy_gets_no_new_flows(self) -> None:
+        clients = [client for client in range(100) if self.reaches_misreporting(client)]
         for client in clients[:3]:
             self.assertNotEqual(self.refuse(client), [GATEWAY])
         self.assertEqual(self.view().status, BackendOperatingStatus.SHEDDING)
-        self.assertFalse(any(self.to_liar(client) for client in range(200, 300)))
+        self.assertFalse(any(self.reaches_misreporting(client) for client in range(200, 300)))
         self.pass_time(6.0)
         self.assertEqual(self.view().status, BackendOperatingStatus.ONLINE)
 
-    def test_resets_that_clients_provoke_or_repeat_are_no_refusals(self) -> None:
-        clients = [client for client in range(100) if self.to_liar(client)]
+    def test_resets_provoked_by_clients_or_repeated_do_not_count_as_refusals(self) -> None:
+        clients = [client for client in range(100) if self.reaches_misreporting(client)]
         for client in clients[:6]:
             self.fleet.send(tcp(client, ACK))
             self.assertEqual(self.refuse(client), [GATEWAY])
--- a/tests/unit/routing/test_ownership_machine.py
+++ b/tests/unit/routing/test_ownership_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing: after its SYN was answered, a flow's packets reach one backend only."""
+"""Stateful test: once its SYN was forwarded, all packets of a flow reach the same backend."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class OwnershipMachine(RuleBasedStateMachine):
-    """Joins, planned leaves, crashes and generations while messages are lost and views lag."""
+    """Joins, planned leaves, crashes and new generations, with message loss and stale members."""
 
     def __init__(self) -> None:
         super().__init__()
         self.fleet = Fleet()
         self.generations: list[list[Backend]] = [[backend(number) for number in range(1, 5)]]
         self.flows: dict[int, SocketAddress] = {}
-        self.since: dict[int, float] = {}
+        self.opened_at: dict[int, float] = {}
         self.opened = 0
         self.joined = 3
 
@@ -42,14 +42,14 @@
             address = self.fleet.send(tcp(client, SYN))
             if address is not None:
                 self.flows[client] = address
-                self.since[client] = self.fleet.now
+                self.opened_at[client] = self.fleet.now
         self.opened += count
 
     @rule()
     def retransmit_and_send(self) -> None:
-        """Send payload in every flow; SYNs only while a client would still retransmit them."""
+        """Send payload on every flow, and a SYN while the client would still retransmit it."""
         for client, address in self.flows.items():
-            young = self.fleet.now - self.since[client] < SYN_SECONDS
+            young = self.fleet.now - self.opened_at[client] < SYN_SECONDS
             for data in [tcp(client, SYN)] * young + [tcp(client, ACK, b"x")]:
                 reached = self.fleet.send(data)
                 assert reached in {None, address}, (client, reached, address)
@@ -67,7 +67,7 @@
         self.joined += 1
 
     @rule(position=st.integers(0, MAXIMUM_NODES))
-    def tell_one(self, position: int) -> None:
+    def update_one_member_list(self, position: int) -> None:
         nodes = sorted(self.fleet.nodes)
         self.fleet.tell([nodes[position % len(nodes)]])
 
@@ -80,7 +80,7 @@
     @precondition(lambda self: len(self.fleet.nodes) > 2)
     @rule(position=st.integers(0, MAXIMUM_NODES))
     def crash(self, position: int) -> None:
-        """Crash a node once all have settled, as a flow of two seconds' age may ask for."""
+        """Crash a node after all have had time to replicate their exceptions."""
         self.fleet.tell()
         self.fleet.run(REPLICA_SECONDS if self.fleet.loss else 4.0)
         nodes = sorted(self.fleet.nodes)
@@ -112,7 +112,7 @@
 
 
 class OwnershipMachineTest(OwnershipMachine.TestCase):  # type: ignore[misc, name-defined]
-    """Run by unittest."""
+    """Runs the state machine under unittest."""
 
 
 if __name__ == "__main__":
--- a/tests/unit/routing/test_transfers.py
+++ b/tests/unit/routing/test_transfers.py
@@ -1,4 +1,4 @@
-"""One decider at any time while joins and leaves overlap and member lists differ."""
+"""Each partition has one owner while joins and leaves overlap and member lists differ."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         return fleet
 
     def run_with_one_owner(self, fleet: Fleet, seconds: float) -> None:
-        """Let time pass and check all the while that no partition has two owners."""
+        """Run the fleet and check after each 0.1 s that no partition has two owners."""
         for _ in range(round(seconds / 0.1)):
             fleet.run(0.1)
             owned = [set(node.ownership.owned) for node in fleet.nodes.values()]
@@ -38,8 +38,8 @@
         self.assertEqual(len(set().union(*owned)), PARTITION_COUNT)
 
 
-class OwnerIsFoundTest(TransfersCase):
-    def test_owner_that_the_joiner_has_not_heard_of_goes_on_owning(self) -> None:
+class OwnerDiscoveryTest(TransfersCase):
+    def test_owner_unknown_to_a_joining_node_keeps_its_partitions(self) -> None:
         for settle in (5.0, NEWCOMER_SECONDS + 5.0):
             with self.subTest(settle=settle):
                 fleet = self.started(settle)
@@ -52,8 +52,8 @@
                 self.run_with_one_owner(fleet, 8.0)
                 self.assert_all_owned(fleet)
 
-    def test_owner_that_left_as_planned_had_handed_over(self) -> None:
-        """It leaves before the node that awaits it has asked again, and been told to whom."""
+    def test_partitions_of_a_node_that_left_have_one_owner(self) -> None:
+        """Guards against a second owner if a node leaves before another asks it for the owner."""
         for settle in (5.0, NEWCOMER_SECONDS + 5.0):
             with self.subTest(settle=settle):
                 fleet = self.started(settle)
@@ -77,7 +77,7 @@
                 self.assert_all_owned(fleet)
 
     def test_former_owner_follows_the_home_when_its_successor_is_gone(self) -> None:
-        """Found by the demo: it went on relaying to a node that had left, until 25 s were over."""
+        """Guards against relaying to a node that has left, until its entry in `handed` expires."""
         fleet = self.started(NEWCOMER_SECONDS + 5.0)
         fleet.add(3)
         fleet.run(6.0)
@@ -89,8 +89,8 @@
         lost = [item for item in handed if not node.answers(node.deciders[item])]
         self.assertEqual(lost, [])
 
-    def test_leaving_node_is_not_offered_what_it_has_just_handed_over(self) -> None:
-        """Found by rolling-replacement, seed 1: 1,430 partitions went back, and were refused."""
+    def test_leaving_node_is_not_offered_partitions_that_it_handed_over(self) -> None:
+        """Guards against handovers back to a leaving node, which refuses them."""
         fleet = self.started(5.0)
         fleet.nodes[N1].begin_leave(fleet.now)
         fleet.sent_messages.clear()
@@ -105,7 +105,7 @@
 
 class FalseSuspicionTest(TransfersCase):
     def test_flows_survive_two_false_suspicions_of_their_owner(self) -> None:
-        """Found by storm, seed 1: the first one used up the replicas that the second needed."""
+        """Guards against the loss of replicas that the first suspicion has consumed."""
         fleet = self.started(2.0)
         fleet.configure(service(CHANGED))
         flows = {client: fleet.open(client) for client in range(FLOWS)}
