--- a/src/beamloom/routing/answer_times.py
+++ b/src/beamloom/routing/answer_times.py
@@ -9,7 +9,7 @@
 from beamloom.routing.hooks import BackendHealth
 
 AWAITED_FLOWS = 2048
-LONGEST_SECONDS = 30.0
+MAXIMUM_ANSWER_SECONDS = 30.0
 
 
 class AnswerTimes:
@@ -17,17 +17,17 @@
 
     def __init__(self, health: BackendHealth) -> None:
         self._health = health
-        self._awaited: dict[int, tuple[int, float]] = {}
+        self._pending: dict[int, tuple[int, float]] = {}
 
     def payload_sent(self, key: int, backend_number: int, now: float) -> None:
         """Note that a flow's first payload leaves for a backend."""
-        self._awaited.pop(key, None)
-        self._awaited[key] = backend_number, now
-        if len(self._awaited) > AWAITED_FLOWS:
-            del self._awaited[next(iter(self._awaited))]
+        self._pending.pop(key, None)
+        self._pending[key] = backend_number, now
+        if len(self._pending) > AWAITED_FLOWS:
+            del self._pending[next(iter(self._pending))]
 
     def answered(self, key: int, now: float) -> None:
         """Take a payload of the backend; only the first after `payload_sent` counts."""
-        sent = self._awaited.pop(key, None)
-        if sent is not None and now - sent[1] <= LONGEST_SECONDS:
+        sent = self._pending.pop(key, None)
+        if sent is not None and now - sent[1] <= MAXIMUM_ANSWER_SECONDS:
             self._health.observe_answer_time(sent[0], now - sent[1], now)
--- a/src/beamloom/routing/answers.py
+++ b/src/beamloom/routing/answers.py
@@ -12,8 +12,8 @@
 )
 
 BATCH_SECONDS = 0.2
-REMEMBERED_SECONDS = 30.0
-MAXIMUM_REMEMBERED = 65_536
+ROTATION_SECONDS = 30.0
+MAXIMUM_SET_SIZE = 65_536
 
 
 class RelayedFlows:
@@ -28,18 +28,18 @@
         self._older: set[tuple[int, NodeId]] = set()
         self._rotate_at = 0.0
 
-    def is_repeated(self, key: int, relay: NodeId, now: float) -> bool:
+    def record(self, key: int, relay: NodeId, now: float) -> bool:
         """Note that a node relayed a flow; returns whether it did so before."""
-        if now >= self._rotate_at or len(self._newer) >= MAXIMUM_REMEMBERED:
+        if now >= self._rotate_at or len(self._newer) >= MAXIMUM_SET_SIZE:
             self._older, self._newer = self._newer, set()
-            self._rotate_at = now + REMEMBERED_SECONDS
+            self._rotate_at = now + ROTATION_SECONDS
         relayed = (key, relay)
         repeated = relayed in self._newer or relayed in self._older
         self._newer.add(relayed)
         return repeated
 
 
-class AnswerBatches:
+class CacheAnswerBatches:
     """Answers that wait for their batch, by relaying node; losing one costs a relayed packet."""
 
     def __init__(self) -> None:
@@ -61,8 +61,8 @@
         commands: list[Command] = []
         for relay, records in self._records.items():
             for start in range(0, len(records), RECORDS_PER_MESSAGE):
-                part = records[start : start + RECORDS_PER_MESSAGE]
-                commands.append(SendMessage(relay, CacheAnswers(pack_records(part))))
+                chunk = records[start : start + RECORDS_PER_MESSAGE]
+                commands.append(SendMessage(relay, CacheAnswers(pack_records(chunk))))
         self._records = {}
         self._due = None
         return commands
--- a/src/beamloom/routing/deadlines.py
+++ b/src/beamloom/routing/deadlines.py
@@ -23,7 +23,7 @@
         self._capacity = capacity
         self._ticks: dict[int, int] = {}
         self._slots: list[set[int]] = [set() for _ in range(SLOT_COUNT)]
-        self._done_tick = math.floor(now / TICK_SECONDS)
+        self._last_tick = math.floor(now / TICK_SECONDS)
 
     def __len__(self) -> int:
         """Return the number of deadlines held."""
@@ -36,7 +36,7 @@
             raise DeadlineCapacityError(
                 f"{self._capacity} deadlines are held; raise the flow table's capacity"
             )
-        tick = max(math.ceil(at / TICK_SECONDS), self._done_tick + 1)
+        tick = max(math.ceil(at / TICK_SECONDS), self._last_tick + 1)
         self._ticks[flow_key] = tick
         self._slots[tick % SLOT_COUNT].add(flow_key)
 
@@ -51,10 +51,10 @@
     def due(self, now: float) -> list[int]:
         """Remove and return the flows whose deadline has passed, earliest first."""
         current = math.floor(now / TICK_SECONDS)
-        if current <= self._done_tick:
+        if current <= self._last_tick:
             return []
-        first = max(self._done_tick + 1, current - SLOT_COUNT + 1)
-        self._done_tick = current
+        first = max(self._last_tick + 1, current - SLOT_COUNT + 1)
+        self._last_tick = current
         expired: list[tuple[int, int]] = []
         for tick in range(first, current + 1):
             expired.extend(self._expired_in(self._slots[tick % SLOT_COUNT], current))
--- a/src/beamloom/routing/deciding.py
+++ b/src/beamloom/routing/deciding.py
@@ -17,8 +17,8 @@
 from beamloom.routing.flow_table import FlowFlag
 from beamloom.routing.hashing import partition_of
 from beamloom.routing.home import BOTH_CLOSED, Home
-from beamloom.routing.late_flows import LateFlows
-from beamloom.routing.openings import KeptOpenings
+from beamloom.routing.late_flows import DeadlineEnforcer
+from beamloom.routing.openings import OpeningPacketBuffer
 from beamloom.routing.ownership import Acquisition
 from beamloom.routing.packet import PROTOCOL_TCP, TCP_RST, DropReason, PacketView
 from beamloom.routing.placement import NO_CANDIDATE
@@ -27,8 +27,8 @@
 from beamloom.routing.services import ServiceRoute
 from beamloom.routing.transfers import Transfers
 
-TAKEOVER_SECONDS = 3.0
-UNKNOWN_BINDING_SECONDS = 30.0
+REPLICA_PUSH_SECONDS = 3.0
+BINDING_RECOVERY_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,10 +54,10 @@
     commands: tuple[Command, ...] = ()
     refusal: bytes | None = None
     drop: DropReason | None = None
-    swallowed: bool = False
+    suppress_answer: bool = False
 
 
-class Deciding:
+class HomePacketHandler:
     """The decisions about flows of the partitions that this node owns."""
 
     def __init__(
@@ -76,9 +76,9 @@
         self._transfers = transfers
         self._counters = counters
         self._bindings = Bindings()
-        self._openings = KeptOpenings()
+        self._opening_packets = OpeningPacketBuffer()
         self.answer_times = AnswerTimes(home.hooks.health)
-        self._late = LateFlows(home, gateway, counters)
+        self._deadline_enforcer = DeadlineEnforcer(home, gateway, counters)
 
     @property
     def bindings_waiting(self) -> int:
@@ -101,7 +101,7 @@
         """Decide on one packet of a client."""
         key, view = packet.key, packet.view
         row = self._home.known_row(key, packet.service, now)
-        if row is not None and view.opens_flow and self._is_over(row):
+        if row is not None and view.opens_flow and self._is_closing(row):
             self._home.forget(key)
             row = None
         if row is None:
@@ -113,40 +113,40 @@
             return Decision(drop=None if held else DropReason.UNKNOWN_BINDING)
         if view.is_error:
             return Decision(self._table.backend[row])
-        if self._late.is_late(row) and not view.tcp_flags & TCP_RST:
-            resets = tuple(self._late.resets(key, row, packet.data))
+        if self._deadline_enforcer.ended_at_deadline(row) and not view.tcp_flags & TCP_RST:
+            resets = tuple(self._deadline_enforcer.resets(key, row, packet.data))
             return Decision(commands=resets, drop=DropReason.DEADLINE_PASSED)
-        self._note_progress(packet, row, now)
+        self._record_client_packet(packet, row, now)
         return Decision(self._table.backend[row])
 
-    def _is_over(self, row: int) -> bool:
+    def _is_closing(self, row: int) -> bool:
         return bool(self._table.flags[row] & BOTH_CLOSED)
 
     def _place(self, packet: FlowPacket, now: float) -> Decision:
         if packet.view.flow.protocol == PROTOCOL_TCP:
             if packet.view.opens_flow:
                 return self._place_new(packet, now)
-            return self._place_by_base(packet, now)
+            return self._place_at_base(packet, now)
         if self._binding_may_be_lost(packet, now):
             return Decision(drop=DropReason.UNKNOWN_BINDING)
-        base = self._base_in_force(packet)
+        base = self._current_base_backend(packet)
         partition = partition_of(packet.key)
         if base is None or self._home.knows_every_flow(packet.service, partition, now):
             return self._place_new(packet, now)
         self._hooks.admission.flow_taken_over(packet.service.contract)
         return self._enter(packet, Choice(base, PlacementReason.BASE_GENERATION), now)
 
-    def _base_in_force(self, packet: FlowPacket) -> int | None:
+    def _current_base_backend(self, packet: FlowPacket) -> int | None:
         number = self._home.base_backend(packet.service, packet.key)
         return number if self._routes.has_backend(number) else None
 
-    def _place_by_base(self, packet: FlowPacket, now: float) -> Decision:
+    def _place_at_base(self, packet: FlowPacket, now: float) -> Decision:
         """Enter a TCP flow that began before this node knew of it: unknown means base.
 
         It may be wrong after a crash; then the backend has no such connection and answers with a
         reset, so that nothing runs twice.
         """
-        number = self._base_in_force(packet)
+        number = self._current_base_backend(packet)
         if number is None:
             return Decision(drop=DropReason.NO_BACKEND)
         owned = self._home.ownership.owned[partition_of(packet.key)]
@@ -157,7 +157,7 @@
         choice = Choice(number, PlacementReason.BASE_GENERATION)
         row = self._home.enter(packet.key, choice, packet.service, flags, now)
         self._counters["flows_by_base"] += 1
-        self._note_progress(packet, row, now)
+        self._record_client_packet(packet, row, now)
         return Decision(number)
 
     def _binding_may_be_lost(self, packet: FlowPacket, now: float) -> bool:
@@ -166,7 +166,7 @@
             return False
         partition = partition_of(packet.key)
         owned = self._home.ownership.owned[partition]
-        wait = policy.request_deadline or UNKNOWN_BINDING_SECONDS
+        wait = policy.request_deadline or BINDING_RECOVERY_SECONDS
         if owned.acquisition is not Acquisition.CRASH or now - owned.since >= wait:
             return False
         return not self._transfers.bindings_known(partition)
@@ -194,9 +194,9 @@
             return Decision(drop=DropReason.UNKNOWN_BINDING)
         flags = FlowFlag.HELD if commands else FlowFlag(0)
         row = self._home.enter(key, choice, service, flags, now)
-        self._note_progress(packet, row, now)
+        self._record_client_packet(packet, row, now)
         if view.opens_flow and not view.payload_size:
-            self._openings.keep(key, packet.data)
+            self._opening_packets.keep(key, packet.data)
         if commands:
             self._bindings.hold(key, packet.data)
             return Decision(commands=tuple(commands))
@@ -229,40 +229,40 @@
         self._table.flags[row] |= FlowFlag.REPLICATED
         return [SendPacket(LocalSocket.DATA, route.address, packet) for packet in released.packets]
 
-    def _note_progress(self, packet: FlowPacket, row: int, now: float) -> None:
+    def _record_client_packet(self, packet: FlowPacket, row: int, now: float) -> None:
         table, view = self._table, packet.view
         if view.payload_size:
             if not table.flags[row] & (FlowFlag.PAYLOAD_SENT | FlowFlag.HELD):
                 self.answer_times.payload_sent(packet.key, table.backend[row], now)
             table.flags[row] |= FlowFlag.PAYLOAD_SENT
         if not view.opens_flow:
-            self._openings.take(packet.key)
+            self._opening_packets.take(packet.key)
         if not self._home.is_over(row):
             table.deadline[row] = now + packet.service.idle_timeout
         if table.flags[row] & FlowFlag.DEADLINE:
             ending = self._home.deadlines.get(packet.key)
             if ending is not None:
-                ending.note_packet(packet.data, view)
+                ending.record_packet(packet.data, view)
         if view.closes_flow:
-            self._note_closing(packet.key, row, view, FlowFlag.CLIENT_CLOSED, now)
+            self._record_close(packet.key, row, view, FlowFlag.CLIENT_CLOSED, now)
 
-    def _note_closing(
+    def _record_close(
         self, key: int, row: int, view: PacketView, side: FlowFlag, now: float
     ) -> None:
         sides = BOTH_CLOSED if view.tcp_flags & TCP_RST else side
         if self._home.close(row, sides, now):
             self._home.lift_deadline(key, row)
 
-    def payload_may_be_sent(self, key: int) -> None:
+    def mark_payload_sent(self, key: int) -> None:
         """Note that another node is given this flow's answer and may forward payload unseen."""
         row = self._table.rows.get(key)
         if row is not None:
             self._table.flags[row] |= FlowFlag.PAYLOAD_SENT
-            self._openings.take(key)
+            self._opening_packets.take(key)
 
     # -- answers of backends ---------------------------------------------------------------------
 
-    def answer_closes(
+    def handle_backend_close(
         self, key: int, view: PacketView, service: ServiceRoute, now: float
     ) -> Decision:
         """Take a FIN or RST of a backend; a refused opening may be offered to another backend."""
@@ -270,29 +270,31 @@
         if row is None:
             return Decision()
         if view.tcp_flags & TCP_RST:
-            if self._may_be_wrong_guess(key, row, now):
-                return Decision(swallowed=True)
-            opening = self._openings.take(key)
+            if self._guess_may_be_corrected(key, row, now):
+                return Decision(suppress_answer=True)
+            opening = self._opening_packets.take(key)
             if opening is not None:
                 self._hooks.health.observe_refusal(self._table.backend[row], now)
-            retried = self._offer_again(key, row, service, opening, now)
+            retried = self._retry_on_another_backend(key, row, service, opening, now)
             if retried is not None:
                 return retried
-        self._note_closing(key, row, view, FlowFlag.BACKEND_CLOSED, now)
+        self._record_close(key, row, view, FlowFlag.BACKEND_CLOSED, now)
         return Decision()
 
-    def _may_be_wrong_guess(self, key: int, row: int, now: float) -> bool:
+    def _guess_may_be_corrected(self, key: int, row: int, now: float) -> bool:
         """Whether a holder of replicas may still tell where this flow belongs."""
         owned = self._home.ownership.owned[partition_of(key)]
         guessed = self._table.flags[row] & FlowFlag.GUESSED
-        return bool(guessed) and now - owned.since < TAKEOVER_SECONDS
+        return bool(guessed) and now - owned.since < REPLICA_PUSH_SECONDS
 
-    def _offer_again(
+    def _retry_on_another_backend(
         self, key: int, row: int, service: ServiceRoute, opening: bytes | None, now: float
     ) -> Decision | None:
         """Offer a flow whose client has sent nothing but `opening` to another backend, once."""
         flags = self._table.flags[row]
-        if flags & (FlowFlag.PAYLOAD_SENT | FlowFlag.HELD) or self._late.is_late(row):
+        if flags & (
+            FlowFlag.PAYLOAD_SENT | FlowFlag.HELD
+        ) or self._deadline_enforcer.ended_at_deadline(row):
             return None
         choice = self._home.choose(key, service, now, excluded=self._table.backend[row])
         if not opening or choice.backend_number == NO_CANDIDATE:
@@ -307,14 +309,14 @@
         flags = FlowFlag.HELD if bind else FlowFlag(0)
         retried = Choice(number, PlacementReason.RETRIED_AFTER_REFUSAL)
         self._home.enter(key, retried, service, flags, now)
-        self._openings.keep(key, b"")
+        self._opening_packets.keep(key, b"")
         self._counters["flows_offered_again"] += 1
         if bind:
             self._bindings.hold(key, opening)
-            return Decision(commands=tuple(bind), swallowed=True)
+            return Decision(commands=tuple(bind), suppress_answer=True)
         address = self._routes.backends[number].address
-        again = SendPacket(LocalSocket.DATA, address, opening)
-        return Decision(commands=(again,), swallowed=True)
+        resent = SendPacket(LocalSocket.DATA, address, opening)
+        return Decision(commands=(resent,), suppress_answer=True)
 
     def poll(self, now: float) -> list[Command]:
         """Go on with bindings whose holder is silent, and end flows past their deadline."""
@@ -322,4 +324,4 @@
         for flow in released:
             self._counters["bound_alone"] += 1
             commands.extend(self._release(flow))
-        return commands + self._late.poll(now)
+        return commands + self._deadline_enforcer.poll(now)
--- a/src/beamloom/routing/explanation.py
+++ b/src/beamloom/routing/explanation.py
@@ -9,7 +9,7 @@
 from beamloom.routing.flow_table import FlowFlag
 from beamloom.routing.hashing import partition_of
 from beamloom.routing.home import Home
-from beamloom.routing.late_flows import ENDED_LATE
+from beamloom.routing.late_flows import ENDED_AT_DEADLINE
 from beamloom.routing.packet import FlowTuple
 from beamloom.routing.replicas import ReplicaStore
 from beamloom.routing.selection import PlacementReason
@@ -65,7 +65,7 @@
     counters: dict[str, int]
 
 
-class Explainer:
+class FlowExplainer:
     """Answers what one node knows of a flow."""
 
     def __init__(self, home: Home, replicas: ReplicaStore) -> None:
@@ -116,7 +116,7 @@
             None if owned is None else owned.base,
             None if is_home else table.deadline[row],
             self._deadline(key, number),
-            table.flags[row] & ENDED_LATE == ENDED_LATE,
+            table.flags[row] & ENDED_AT_DEADLINE == ENDED_AT_DEADLINE,
         )
 
     def _deadline(self, key: int, backend_number: int) -> float | None:
--- a/src/beamloom/routing/fast_path.py
+++ b/src/beamloom/routing/fast_path.py
@@ -13,16 +13,16 @@
 from beamloom.routing.packet import PROTOCOL_TCP, TCP_FIN, TCP_RST, TCP_SYN
 from beamloom.routing.services import RouteTable
 
-SHORTEST_PACKET = 40
-IPV4_NO_OPTIONS = 0x45
-FRAGMENT_BITS = 0x3FFF
-TCP_FLAGS_AT = 33
+MINIMUM_PACKET_SIZE = 40
+IPV4_WITHOUT_OPTIONS = 0x45
+FRAGMENT_MASK = 0x3FFF
+TCP_FLAGS_POSITION = 33
 TCP_CONTROL_FLAGS = TCP_SYN | TCP_FIN | TCP_RST
 
 _HEADER = struct.Struct("!BxHxxHBBxx12s")
 _HOME = int(FlowFlag.HOME)
 _PAYLOAD_SENT = int(FlowFlag.PAYLOAD_SENT)
-_FLAGS_THAT_MATTER = int(
+_CHECKED_FLAGS = int(
     FlowFlag.PAYLOAD_SENT
     | FlowFlag.HELD
     | FlowFlag.CLIENT_CLOSED
@@ -39,18 +39,18 @@
         self._routes = routes
         self._seeds = seeds
 
-    def address_of(  # noqa: PLR0911 - one flat function: each call more costs every packet
+    def look_up(  # noqa: PLR0911 - one flat function: each call more costs every packet
         self, data: bytes, now: float
     ) -> SocketAddress | None:
         """Return where to send a packet; None where it needs to be looked at more closely."""
-        if len(data) < SHORTEST_PACKET or data[0] != IPV4_NO_OPTIONS:
+        if len(data) < MINIMUM_PACKET_SIZE or data[0] != IPV4_WITHOUT_OPTIONS:
             return None
-        _, total, fragment, hop_limit, protocol, hash_input = _HEADER.unpack_from(data)
+        _, total_length, fragment, hop_limit, protocol, hash_input = _HEADER.unpack_from(data)
         seed = self._seeds.get(protocol)
-        if seed is None or total != len(data) or fragment & FRAGMENT_BITS or not hop_limit:
+        if seed is None or total_length != len(data) or fragment & FRAGMENT_MASK or not hop_limit:
             return None
         table = self._table
-        if protocol == PROTOCOL_TCP and data[TCP_FLAGS_AT] & TCP_CONTROL_FLAGS:
+        if protocol == PROTOCOL_TCP and data[TCP_FLAGS_POSITION] & TCP_CONTROL_FLAGS:
             return None
         row = table.rows.get(xxhash.xxh3_64_intdigest(hash_input, seed) & FLOW_KEY_MASK)
         route = None if row is None else self._routes.backends.get(table.backend[row])
@@ -62,7 +62,7 @@
         if protocol != service.protocol:
             return None
         meter = service.meter
-        if meter.blocked or flags & _FLAGS_THAT_MATTER != _PAYLOAD_SENT:
+        if meter.blocked or flags & _CHECKED_FLAGS != _PAYLOAD_SENT:
             return None
         if flags & _HOME:
             table.deadline[row] = now + service.idle_timeout
--- a/src/beamloom/routing/flow_deadlines.py
+++ b/src/beamloom/routing/flow_deadlines.py
@@ -34,11 +34,11 @@
         """The newest packet, with zeros for its payload; empty when none was seen."""
         return self.headers + bytes(self.payload_size)
 
-    def note_packet(self, data: bytes, view: PacketView) -> None:
+    def record_packet(self, data: bytes, view: PacketView) -> None:
         """Keep a packet of the client unless a newer one came before it (RFC 9293, 3.4)."""
         end = _sequence_end(data, view)
-        known = self.sequence_end
-        if known is not None and (end - known) % SEQUENCE_MODULUS >= HALF_SEQUENCE_SPACE:
+        newest_end = self.sequence_end
+        if newest_end is not None and (end - newest_end) % SEQUENCE_MODULUS >= HALF_SEQUENCE_SPACE:
             return
         self.headers = data[: len(data) - view.payload_size]
         self.payload_size = view.payload_size
@@ -54,7 +54,7 @@
     def __init__(self, capacity: int = MAXIMUM_FLOWS) -> None:
         self._wheel = DeadlineWheel(capacity)
         self._flows: dict[int, FlowDeadline] = {}
-        self.not_kept = 0
+        self.rejected = 0
 
     def __len__(self) -> int:
         """Return the number of flows with a deadline."""
@@ -70,7 +70,7 @@
             self._wheel.schedule(key, at)
         except DeadlineCapacityError:
             self._flows.pop(key, None)
-            self.not_kept += 1
+            self.rejected += 1
             return False
         self._flows[key] = flow
         return True
@@ -91,5 +91,5 @@
     header = IPV6_HEADER_SIZE if data[0] >> 4 == 6 else IPV4_HEADER_SIZE
     start = header + SEQUENCE_OFFSET
     sequence = int.from_bytes(data[start : start + SEQUENCE_SIZE], "big")
-    counted = bool(view.tcp_flags & TCP_SYN) + bool(view.tcp_flags & TCP_FIN)
-    return (sequence + view.payload_size + counted) % SEQUENCE_MODULUS
+    control_flags = bool(view.tcp_flags & TCP_SYN) + bool(view.tcp_flags & TCP_FIN)
+    return (sequence + view.payload_size + control_flags) % SEQUENCE_MODULUS
--- a/src/beamloom/routing/forwarder.py
+++ b/src/beamloom/routing/forwarder.py
@@ -23,9 +23,9 @@
     unpack_records,
 )
 from beamloom.protocol.messages import Message
-from beamloom.routing.answers import AnswerBatches, RelayedFlows
-from beamloom.routing.deciding import Deciding, FlowPacket
-from beamloom.routing.explanation import Explainer, FlowExplanation, RoutingSnapshot
+from beamloom.routing.answers import CacheAnswerBatches, RelayedFlows
+from beamloom.routing.deciding import FlowPacket, HomePacketHandler
+from beamloom.routing.explanation import FlowExplainer, FlowExplanation, RoutingSnapshot
 from beamloom.routing.fast_path import FastPath
 from beamloom.routing.flow_table import FlowFlag, FlowTable
 from beamloom.routing.hashing import (
@@ -36,7 +36,7 @@
 )
 from beamloom.routing.home import Home, lease_seconds
 from beamloom.routing.hooks import RoutingHooks, permissive_hooks
-from beamloom.routing.openings import AwaitingPackets
+from beamloom.routing.openings import HandoverBuffer
 from beamloom.routing.ownership import Acquired, Ownership
 from beamloom.routing.packet import (
     PROTOCOL_TCP,
@@ -55,8 +55,8 @@
 from beamloom.routing.transfers import Transfers
 
 TICK_SECONDS = 0.1
-RELAY_HOPS = 6
-RELAY_HOPS_OF_ANSWERS = 255
+RELAY_HOP_LIMIT = 6
+ANSWER_RELAY_HOP_LIMIT = 255
 
 _PAYLOAD_SENT = int(FlowFlag.PAYLOAD_SENT)
 
@@ -89,23 +89,23 @@
             self.ownership, self.home, self.replicas, self._sender, self._partition_acquired
         )
         self.home.listeners.extend((self._sender, self._transfers))
-        self._deciding = Deciding(
+        self._handler = HomePacketHandler(
             self.home, self._sender, self._transfers, self.counters, self._gateway
         )
-        self._awaiting = AwaitingPackets()
-        self._explainer = Explainer(self.home, self.replicas)
-        self._answers = AnswerBatches()
-        self._relayed = RelayedFlows()
+        self._handover_buffer = HandoverBuffer()
+        self._explainer = FlowExplainer(self.home, self.replicas)
+        self._cache_answers = CacheAnswerBatches()
+        self._relayed_flows = RelayedFlows()
         self._gateways = tuple(gateways)
         self._seeds = {
             protocol: flow_seed(hash_key, protocol) for protocol in (PROTOCOL_TCP, PROTOCOL_UDP)
         }
-        self._address_fast = FastPath(self.table, self.routes, self._seeds).address_of
+        self._look_up_fast = FastPath(self.table, self.routes, self._seeds).look_up
         self._peers: dict[SocketAddress, NodeId] = {}
         self._commands: list[Command] = []
         self._tick_due = 0.0
-        self._timer_told = 0.0
-        self._timer_moved = False
+        self._reported_timer = 0.0
+        self._timer_is_earlier = False
         self._leave_complete = False
 
     # -- what the node tells -------------------------------------------------------------------
@@ -114,9 +114,9 @@
         self, changed: Sequence[ServiceContract], removed: Sequence[int], now: float = 0.0
     ) -> None:
         """Put configuration changes in force; `removed` holds service numbers."""
-        lost = self.routes.numbers_lost(changed, removed)
-        if lost:
-            for key in self.table.keys_with_backends(lost):
+        lost_backends = self.routes.numbers_lost(changed, removed)
+        if lost_backends:
+            for key in self.table.keys_with_backends(lost_backends):
                 self.home.forget(key)
         self.routes.update(changed)
         for service_number in removed:
@@ -144,13 +144,13 @@
     def take_commands(self) -> list[Command]:
         """Return and clear what forwarding asked for besides the answered address."""
         commands, self._commands = self._commands, []
-        self._timer_moved = False
+        self._timer_is_earlier = False
         return commands
 
     @property
     def has_commands(self) -> bool:
         """Whether a packet left commands to take, or made the timer earlier than was last told."""
-        return bool(self._commands) or self._timer_moved
+        return bool(self._commands) or self._timer_is_earlier
 
     # -- the hot path --------------------------------------------------------------------------
 
@@ -159,7 +159,7 @@
     ) -> SocketAddress | None:
         """Return where to send these bytes, or None when they are dropped or were changed."""
         if not from_peer:
-            address = self._address_fast(data, now)
+            address = self._look_up_fast(data, now)
             if address is not None:
                 return address
         try:
@@ -204,16 +204,16 @@
         decider = self.ownership.deciders[partition]
         if decider == self.node_id:
             return self._forward_as_home(FlowPacket(key, data, view, service, relay), now)
-        address = self._address_by_cache(key, view, service, relay, now)
+        address = self._cached_address(key, view, service, relay, now)
         if address is not None:
             return address
         if relay is not None and relay == decider and partition not in self.ownership.handed:
             self._hold_until_handover(partition, data, relay)
         else:
-            self._relay(data, decider, RELAY_HOPS)
+            self._relay(data, decider, RELAY_HOP_LIMIT)
         return None
 
-    def _address_by_cache(
+    def _cached_address(
         self, key: int, view: PacketView, service: ServiceRoute, relay: NodeId | None, now: float
     ) -> SocketAddress | None:
         """Return the cached backend unless the home must see the packet or the lease is over.
@@ -224,7 +224,7 @@
         row = self.table.rows.get(key)
         if row is None:
             return None
-        if view.closes_flow or (view.opens_flow and not self._vouches(key, row)):
+        if view.closes_flow or (view.opens_flow and not self._may_place_retransmission(key, row)):
             self.table.remove(key)
             return None
         route = self.routes.backends.get(self.table.backend[row])
@@ -232,7 +232,7 @@
             return None
         return route.address
 
-    def _vouches(self, key: int, row: int) -> bool:
+    def _may_place_retransmission(self, key: int, row: int) -> bool:
         closed = self.table.flags[row] & (FlowFlag.CLIENT_CLOSED | FlowFlag.BACKEND_CLOSED)
         ownership, partition = self.ownership, partition_of(key)
         return not closed and (partition in ownership.handed or partition in ownership.frozen)
@@ -240,12 +240,12 @@
     def _hold_until_handover(self, partition: int, data: bytes, relay: NodeId) -> None:
         """Keep what a frozen owner passes on while its HANDOVER is under way."""
         awaited = partition in self.ownership.awaited
-        if not awaited or not self._awaiting.hold(partition, data, relay):
+        if not awaited or not self._handover_buffer.hold(partition, data, relay):
             raise PacketError(DropReason.HANDOVER_PENDING)
 
     def _partition_acquired(self, item: Acquired, now: float) -> None:
         """Decide the packets that waited for this partition."""
-        for packet in self._awaiting.release(item.partition):
+        for packet in self._handover_buffer.release(item.partition):
             member = self.ownership.members.get(packet.relay)
             if member is None:
                 continue
@@ -253,20 +253,20 @@
             if address is not None:
                 self._commands.append(SendPacket(LocalSocket.DATA, address, packet.data))
 
-    def _relay(self, data: bytes, decider: NodeId | None, maximum_hops: int) -> None:
+    def _relay(self, data: bytes, decider: NodeId | None, hop_limit: int) -> None:
         member = self.ownership.members.get(decider) if decider is not None else None
         if member is None or decider == self.node_id:
             raise PacketError(DropReason.NO_HOME)
-        packet = with_hop_limit_decremented(data, maximum_hops)
+        packet = with_hop_limit_decremented(data, hop_limit)
         self.counters["relayed"] += 1
         self._commands.append(SendPacket(LocalSocket.PEER, member.machine.peer_address, packet))
 
     def _forward_as_home(self, packet: FlowPacket, now: float) -> SocketAddress | None:
-        predecessor = self._deciding.predecessor_to_ask(packet, now)
+        predecessor = self._handler.predecessor_to_ask(packet, now)
         if predecessor is not None:
-            self._relay(packet.data, predecessor, RELAY_HOPS)
+            self._relay(packet.data, predecessor, RELAY_HOP_LIMIT)
             return None
-        decision = self._deciding.decide(packet, now)
+        decision = self._handler.decide(packet, now)
         self._commands.extend(decision.commands)
         if decision.refusal is not None:
             self._send_to_client(packet.key, decision.refusal)
@@ -275,17 +275,17 @@
         number = decision.backend_number
         if number is None:
             return None
-        if packet.relay is not None and self._is_answer_wanted(packet, packet.relay, now):
-            self._deciding.payload_may_be_sent(packet.key)
-            if self._answers.put(packet.relay, FlowRecord(packet.key, number), now):
-                self._timer_moved = self._next_due() < self._timer_told
+        if packet.relay is not None and self._should_send_cache_answer(packet, packet.relay, now):
+            self._handler.mark_payload_sent(packet.key)
+            if self._cache_answers.put(packet.relay, FlowRecord(packet.key, number), now):
+                self._timer_is_earlier = self._next_due() < self._reported_timer
         return self.routes.backends[number].address
 
-    def _is_answer_wanted(self, packet: FlowPacket, relay: NodeId, now: float) -> bool:
+    def _should_send_cache_answer(self, packet: FlowPacket, relay: NodeId, now: float) -> bool:
         """Whether the relaying node may keep a copy, and has had this flow before."""
         if packet.view.opens_flow or packet.view.closes_flow or packet.service.deadline:
             return False
-        return self._relayed.is_repeated(packet.key, relay, now)
+        return self._relayed_flows.record(packet.key, relay, now)
 
     def _send_to_client(self, key: int, packet: bytes) -> None:
         self._commands.append(SendPacket(LocalSocket.DATA, self._gateway(key), packet))
@@ -302,16 +302,16 @@
     ) -> SocketAddress | None:
         key = self._key(view.flow.reversed())
         if view.payload_size:
-            self._deciding.answer_times.answered(key, now)
+            self._handler.answer_times.answered(key, now)
         if not view.closes_flow:
             return self._gateway(key)
         decider = self.ownership.deciders[partition_of(key)]
         if decider == self.node_id:
-            decision = self._deciding.answer_closes(key, view, service, now)
+            decision = self._handler.handle_backend_close(key, view, service, now)
             self._commands.extend(decision.commands)
-            return None if decision.swallowed else self._gateway(key)
+            return None if decision.suppress_answer else self._gateway(key)
         if decider is not None and decider != relay:
-            self._relay(data, decider, RELAY_HOPS_OF_ANSWERS)
+            self._relay(data, decider, ANSWER_RELAY_HOP_LIMIT)
             return None
         if view.tcp_flags & TCP_RST:
             raise PacketError(DropReason.HANDOVER_PENDING)
@@ -327,13 +327,13 @@
         try:
             match message:
                 case CacheAnswers(packed_records):
-                    self._take_cache_answers(sender, packed_records, now)
+                    self._handle_cache_answers(sender, packed_records, now)
                 case BindFlow(key, number):
                     check_record(key, number)
                     self.replicas.put(sender, partition_of(key), key, number)
                     return [SendMessage(sender, BindAcknowledged(key, number))]
                 case BindAcknowledged(key, number):
-                    self._commands.extend(self._deciding.binding_acknowledged(key, number, now))
+                    self._commands.extend(self._handler.binding_acknowledged(key, number, now))
                 case _:
                     commands = self._transfers.handle(sender, message, now)
                     return commands + self.take_commands()
@@ -341,7 +341,7 @@
             self.counters["malformed_message"] += 1
         return self.take_commands()
 
-    def _take_cache_answers(self, sender: NodeId, packed_records: bytes, now: float) -> None:
+    def _handle_cache_answers(self, sender: NodeId, packed_records: bytes, now: float) -> None:
         for record in unpack_records(packed_records):
             route = self.routes.backends.get(record.backend_number)
             if self.ownership.deciders[partition_of(record.key)] != sender or route is None:
@@ -351,24 +351,24 @@
 
     def poll(self, now: float) -> list[Command]:
         """Do what is due: answers, replicas, transfers, bindings, entries that have ended."""
-        commands = self._answers.poll(now)
+        commands = self._cache_answers.poll(now)
         if self._tick_due <= now:
             self._tick_due = now + TICK_SECONDS
             for key in self.table.expired(now):
                 self.home.forget(key)
             commands.extend(self._transfers.poll(now))
             commands.extend(self._sender.poll(now))
-            commands.extend(self._deciding.poll(now))
+            commands.extend(self._handler.poll(now))
             self._leave_complete = self.ownership.leaving and self._transfers.nothing_left(now)
         return commands + self.take_commands()
 
     def next_timer(self) -> float | None:
         """Return when `poll` has something to do."""
-        self._timer_told = self._next_due()
-        return self._timer_told
+        self._reported_timer = self._next_due()
+        return self._reported_timer
 
     def _next_due(self) -> float:
-        return min(self._answers.next_timer() or self._tick_due, self._tick_due)
+        return min(self._cache_answers.next_timer() or self._tick_due, self._tick_due)
 
     # -- explanations --------------------------------------------------------------------------
 
@@ -389,7 +389,7 @@
             exceptions=sum(len(found) for found in self.home.exceptions.values()),
             replicas_held=self.replicas.record_count,
             records_waiting=self._sender.streams.waiting_records,
-            bindings_waiting=self._deciding.bindings_waiting,
+            bindings_waiting=self._handler.bindings_waiting,
             deadlines=len(self.home.deadlines),
             open_flows=open_flows,
             counters=dict(self.counters),
--- a/src/beamloom/routing/late_flows.py
+++ b/src/beamloom/routing/late_flows.py
@@ -12,10 +12,10 @@
 from beamloom.routing.flow_table import FlowFlag
 from beamloom.routing.home import BOTH_CLOSED, Home
 
-ENDED_LATE = BOTH_CLOSED | FlowFlag.DEADLINE
+ENDED_AT_DEADLINE = BOTH_CLOSED | FlowFlag.DEADLINE
 
 
-class LateFlows:
+class DeadlineEnforcer:
     """The flows of one home that are past their deadline; `gateway` tells where a client is."""
 
     def __init__(
@@ -25,9 +25,9 @@
         self._gateway = gateway
         self._counters = counters
 
-    def is_late(self, row: int) -> bool:
+    def ended_at_deadline(self, row: int) -> bool:
         """Whether a flow was ended at its deadline."""
-        return self._home.table.flags[row] & ENDED_LATE == ENDED_LATE
+        return self._home.table.flags[row] & ENDED_AT_DEADLINE == ENDED_AT_DEADLINE
 
     def poll(self, now: float) -> list[Command]:
         """End the flows whose deadline has passed; returns the resets."""
@@ -57,11 +57,13 @@
         if not packet:
             return []
         may_have_run = bool(self._home.table.flags[row] & FlowFlag.PAYLOAD_SENT)
-        made = self._home.hooks.refusals.cancel(packet, may_have_run)
+        cancellation = self._home.hooks.refusals.cancel(packet, may_have_run)
         route = self._home.routes.backends.get(self._home.backend_of(row))
         commands: list[Command] = []
-        if made.to_client is not None:
-            commands.append(SendPacket(LocalSocket.DATA, self._gateway(key), made.to_client))
-        if made.to_backend is not None and route is not None:
-            commands.append(SendPacket(LocalSocket.DATA, route.address, made.to_backend))
+        if cancellation.to_client is not None:
+            commands.append(
+                SendPacket(LocalSocket.DATA, self._gateway(key), cancellation.to_client)
+            )
+        if cancellation.to_backend is not None and route is not None:
+            commands.append(SendPacket(LocalSocket.DATA, route.address, cancellation.to_backend))
         return commands
--- a/src/beamloom/routing/openings.py
+++ b/src/beamloom/routing/openings.py
@@ -6,13 +6,13 @@
 
 from beamloom.model.machines import NodeId
 
-KEPT_FLOWS = 2048
-KEPT_BYTES = 1 << 18
-AWAITING_PACKETS = 64
-AWAITING_BYTES = 1 << 16
+MAXIMUM_OPENING_PACKETS = 2048
+MAXIMUM_OPENING_BYTES = 1 << 18
+MAXIMUM_HANDOVER_PACKETS = 64
+MAXIMUM_HANDOVER_BYTES = 1 << 16
 
 
-class KeptOpenings:
+class OpeningPacketBuffer:
     """The SYN of each recent flow that has sent no payload; the oldest give way."""
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
         self.take(key)
         self._packets[key] = packet
         self._bytes += len(packet)
-        while len(self._packets) > KEPT_FLOWS or self._bytes > KEPT_BYTES:
+        while len(self._packets) > MAXIMUM_OPENING_PACKETS or self._bytes > MAXIMUM_OPENING_BYTES:
             self.take(next(iter(self._packets)))
 
     def take(self, key: int) -> bytes | None:
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AwaitingPacket:
+class BufferedPacket:
     """A packet that a frozen owner passed on before its HANDOVER arrived."""
 
     data: bytes
@@ -44,23 +44,26 @@
 
 
 @dataclass(slots=True)
-class AwaitingPackets:
+class HandoverBuffer:
     """Packets that wait for the HANDOVER of their partition, bounded in number and bytes."""
 
-    _packets: dict[int, list[AwaitingPacket]] = field(default_factory=dict)
+    _packets: dict[int, list[BufferedPacket]] = field(default_factory=dict)
     _count: int = 0
     _bytes: int = 0
 
     def hold(self, partition: int, data: bytes, relay: NodeId) -> bool:
         """Keep a packet; returns whether there was room."""
-        if self._count >= AWAITING_PACKETS or self._bytes + len(data) > AWAITING_BYTES:
+        if (
+            self._count >= MAXIMUM_HANDOVER_PACKETS
+            or self._bytes + len(data) > MAXIMUM_HANDOVER_BYTES
+        ):
             return False
-        self._packets.setdefault(partition, []).append(AwaitingPacket(data, relay))
+        self._packets.setdefault(partition, []).append(BufferedPacket(data, relay))
         self._count += 1
         self._bytes += len(data)
         return True
 
-    def release(self, partition: int) -> list[AwaitingPacket]:
+    def release(self, partition: int) -> list[BufferedPacket]:
         """Remove and return the packets of one partition."""
         packets = self._packets.pop(partition, [])
         self._count -= len(packets)
--- a/src/beamloom/routing/packet.py
+++ b/src/beamloom/routing/packet.py
@@ -144,11 +144,13 @@
 def _parse_ipv4(data: bytes) -> PacketView:
     if len(data) < IPV4_HEADER_SIZE:
         raise PacketError(DropReason.TRUNCATED)
-    first, total, fragment, hop_limit, protocol = _IPV4_HEADER.unpack_from(data)
-    if first != 0x45:
-        raise PacketError(DropReason.OPTIONS if first & 15 > 5 else DropReason.MALFORMED)
-    if total != len(data):
-        raise PacketError(DropReason.TRUNCATED if total > len(data) else DropReason.MALFORMED)
+    version_and_ihl, total_length, fragment, hop_limit, protocol = _IPV4_HEADER.unpack_from(data)
+    if version_and_ihl != 0x45:
+        raise PacketError(DropReason.OPTIONS if version_and_ihl & 15 > 5 else DropReason.MALFORMED)
+    if total_length != len(data):
+        raise PacketError(
+            DropReason.TRUNCATED if total_length > len(data) else DropReason.MALFORMED
+        )
     if fragment & IPV4_FRAGMENT_MASK:
         raise PacketError(DropReason.FRAGMENT)
     if hop_limit == 0:
@@ -162,9 +164,11 @@
     if len(data) < IPV6_HEADER_SIZE:
         raise PacketError(DropReason.TRUNCATED)
     _, payload_length, next_header, hop_limit = _IPV6_HEADER.unpack_from(data)
-    total = payload_length + IPV6_HEADER_SIZE
-    if total != len(data):
-        raise PacketError(DropReason.TRUNCATED if total > len(data) else DropReason.MALFORMED)
+    total_length = payload_length + IPV6_HEADER_SIZE
+    if total_length != len(data):
+        raise PacketError(
+            DropReason.TRUNCATED if total_length > len(data) else DropReason.MALFORMED
+        )
     if hop_limit == 0:
         raise PacketError(DropReason.HOP_LIMIT)
     if next_header == PROTOCOL_ICMPV6:
@@ -196,12 +200,14 @@
     """Read an ICMP error and name the flow it is about, seen in the error's own direction."""
     if len(data) < offset + ICMP_HEADER_SIZE:
         raise PacketError(DropReason.TRUNCATED)
-    kind = data[offset]
-    is_error = kind in ICMP_ERROR_TYPES if version == 4 else kind <= ICMPV6_LAST_ERROR_TYPE
+    icmp_type = data[offset]
+    is_error = (
+        icmp_type in ICMP_ERROR_TYPES if version == 4 else icmp_type <= ICMPV6_LAST_ERROR_TYPE
+    )
     if not is_error:
         raise PacketError(DropReason.PROTOCOL)
-    quoted = _quoted_flow(data[offset + ICMP_HEADER_SIZE :], version)
-    return PacketView(quoted.reversed(), 0, 0, is_error=True)
+    quoted_flow = _quoted_flow(data[offset + ICMP_HEADER_SIZE :], version)
+    return PacketView(quoted_flow.reversed(), 0, 0, is_error=True)
 
 
 def _quoted_flow(quoted: bytes, version: int) -> FlowTuple:
--- a/src/beamloom/routing/streams.py
+++ b/src/beamloom/routing/streams.py
@@ -44,13 +44,13 @@
 
 
 @dataclass(slots=True)
-class Flight:
+class InFlightBatch:
     """A batch that is not acknowledged yet; `closed` holds the partitions it closes."""
 
     message: SynchronizationBatch
     closed: dict[int, PartitionNote]
     resend_at: float
-    wait: float = FIRST_RESEND_SECONDS
+    resend_interval: float = FIRST_RESEND_SECONDS
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
     openings: dict[int, PartitionNote] = field(default_factory=dict)
     records: dict[int, int] = field(default_factory=dict)
     closings: dict[int, PartitionNote] = field(default_factory=dict)
-    flight: Flight | None = None
+    in_flight: InFlightBatch | None = None
 
     @property
     def waiting(self) -> bool:
@@ -78,11 +78,11 @@
         self,
         message_type: type[SynchronizationBatch],
         maximum_in_flight: int,
-        closing: Callable[[NodeId, dict[int, PartitionNote]], None] | None = None,
+        on_closings_sent: Callable[[NodeId, dict[int, PartitionNote]], None] | None = None,
     ) -> None:
         self._message_type = message_type
         self._maximum_in_flight = maximum_in_flight
-        self._closing = closing
+        self._on_closings_sent = on_closings_sent
         self._streams: dict[NodeId, PeerStream] = {}
         self._numbers: dict[NodeId, int] = {}
 
@@ -101,7 +101,7 @@
     @property
     def idle(self) -> bool:
         """Whether nothing waits and nothing is unacknowledged."""
-        return not any(item.waiting or item.flight for item in self._streams.values())
+        return not any(item.waiting or item.in_flight for item in self._streams.values())
 
     @property
     def waiting_records(self) -> int:
@@ -111,49 +111,49 @@
     def acknowledge(self, peer: NodeId, number: int) -> dict[int, PartitionNote]:
         """Take an acknowledgement and return what that batch closed; empty for an old one."""
         stream = self._streams.get(peer)
-        if stream is None or stream.flight is None or stream.flight.message.number != number:
+        if stream is None or stream.in_flight is None or stream.in_flight.message.number != number:
             return {}
-        closed = stream.flight.closed
-        stream.flight = None
+        closed = stream.in_flight.closed
+        stream.in_flight = None
         return closed
 
     def flush(self, now: float) -> list[Command]:
         """Resend what is overdue and send new batches while the bound allows."""
         commands: list[Command] = []
-        in_flight = sum(item.flight is not None for item in self._streams.values())
+        batches_in_flight = sum(item.in_flight is not None for item in self._streams.values())
         for peer, stream in list(self._streams.items()):
-            if stream.flight is not None:
-                commands.extend(_resend(peer, stream.flight, now))
-            elif stream.waiting and in_flight < self._maximum_in_flight:
+            if stream.in_flight is not None:
+                commands.extend(_resend(peer, stream.in_flight, now))
+            elif stream.waiting and batches_in_flight < self._maximum_in_flight:
                 commands.append(SendMessage(peer, self._next_batch(peer, stream, now)))
-                in_flight += 1
+                batches_in_flight += 1
                 self._streams[peer] = self._streams.pop(peer)
         return commands
 
     def _next_batch(self, peer: NodeId, stream: PeerStream, now: float) -> SynchronizationBatch:
         opened = _take_group(stream.openings)
         openings, used = _encode_group(opened)
-        room = 0 if stream.openings else (BATCH_BYTES - used) // RECORD.size
-        keys = list(stream.records)[:room]
+        record_limit = 0 if stream.openings else (BATCH_BYTES - used) // RECORD.size
+        keys = list(stream.records)[:record_limit]
         records = pack_records(FlowRecord(key, stream.records.pop(key)) for key in keys)
         closed: dict[int, PartitionNote] = {}
-        left = BATCH_BYTES - used - len(records)
-        if not stream.records and not stream.openings and left >= MAXIMUM_PACKED_BYTES:
+        remaining = BATCH_BYTES - used - len(records)
+        if not stream.records and not stream.openings and remaining >= MAXIMUM_PACKED_BYTES:
             closed = _take_group(stream.closings)
         number = self._numbers.get(peer, 0) + 1
         self._numbers[peer] = number
         message = self._message_type(number, openings, records, _encode_group(closed)[0])
-        stream.flight = Flight(message, closed, now + FIRST_RESEND_SECONDS)
-        if closed and self._closing is not None:
-            self._closing(peer, closed)
+        stream.in_flight = InFlightBatch(message, closed, now + FIRST_RESEND_SECONDS)
+        if closed and self._on_closings_sent is not None:
+            self._on_closings_sent(peer, closed)
         return message
 
 
-def _resend(peer: NodeId, flight: Flight, now: float) -> Iterable[Command]:
+def _resend(peer: NodeId, flight: InFlightBatch, now: float) -> Iterable[Command]:
     if flight.resend_at > now:
         return ()
-    flight.wait = min(2 * flight.wait, LAST_RESEND_SECONDS)
-    flight.resend_at = now + flight.wait
+    flight.resend_interval = min(2 * flight.resend_interval, LAST_RESEND_SECONDS)
+    flight.resend_at = now + flight.resend_interval
     return (SendMessage(peer, flight.message),)
 
 
--- a/tests/unit/routing/test_forwarder.py
+++ b/tests/unit/routing/test_forwarder.py
@@ -11,7 +11,7 @@
 
 from beamloom.model.machines import NodeId
 from beamloom.protocol.flow_messages import ReplicaRecords, TransferRecords
-from beamloom.routing.answers import MAXIMUM_REMEMBERED, REMEMBERED_SECONDS, RelayedFlows
+from beamloom.routing.answers import MAXIMUM_SET_SIZE, ROTATION_SECONDS, RelayedFlows
 from beamloom.routing.explanation import FlowRole
 from beamloom.routing.hooks import (
     AssumedHealth,
@@ -191,13 +191,13 @@
 
     def test_what_is_remembered_of_relays_is_bounded_and_forgotten(self) -> None:
         relayed, relay = RelayedFlows(), NodeId("n1")
-        self.assertFalse(relayed.is_repeated(1, relay, 0.0))
-        self.assertTrue(relayed.is_repeated(1, relay, REMEMBERED_SECONDS - 1))
-        self.assertFalse(relayed.is_repeated(1, NodeId("n2"), REMEMBERED_SECONDS - 1))
-        self.assertFalse(relayed.is_repeated(2, relay, 3 * REMEMBERED_SECONDS))
-        for key in range(3 * MAXIMUM_REMEMBERED):
-            relayed.is_repeated(key, relay, 3 * REMEMBERED_SECONDS)
-        self.assertLessEqual(len(relayed._newer) + len(relayed._older), 2 * MAXIMUM_REMEMBERED)
+        self.assertFalse(relayed.record(1, relay, 0.0))
+        self.assertTrue(relayed.record(1, relay, ROTATION_SECONDS - 1))
+        self.assertFalse(relayed.record(1, NodeId("n2"), ROTATION_SECONDS - 1))
+        self.assertFalse(relayed.record(2, relay, 3 * ROTATION_SECONDS))
+        for key in range(3 * MAXIMUM_SET_SIZE):
+            relayed.record(key, relay, 3 * ROTATION_SECONDS)
+        self.assertLessEqual(len(relayed._newer) + len(relayed._older), 2 * MAXIMUM_SET_SIZE)
 
 
 if __name__ == "__main__":
--- a/tests/unit/routing/test_late_flows.py
+++ b/tests/unit/routing/test_late_flows.py
@@ -167,7 +167,7 @@
             self.open(fleet, client)
         fleet.run(6.0)
         self.assertEqual(total(fleet, "flows_past_deadline"), 1)
-        self.assertEqual(home.deadlines.not_kept, 1)
+        self.assertEqual(home.deadlines.rejected, 1)
 
 
 class CancellationTest(unittest.TestCase):
