--- a/src/beamloom/routing/answers.py
+++ b/src/beamloom/routing/answers.py
@@ -1,4 +1,4 @@
-"""Answers of a home to the nodes that relayed packets to it, in batches."""
+"""Batched CacheAnswers from a home to the nodes that relay packets to it."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class RelayedFlows:
-    """Which flows each node has relayed lately, in two generations of bounded size.
+    """The flows that each node relayed recently, in two bounded sets that are rotated.
 
-    A node that relays a flow once may never see it again, since the fabric sprays; its copy would
-    cost bytes and serve nothing. Forgetting early only delays an answer by one relayed packet.
+    The fabric sprays packets over nodes, so a node that relays a flow once may never receive it
+    again and does not need its backend. A flow dropped too early costs one more relayed packet.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self._rotate_at = 0.0
 
     def record(self, key: int, relay: NodeId, now: float) -> bool:
-        """Note that a node relayed a flow; returns whether it did so before."""
+        """Record that a node relayed a flow; returns whether it was recorded before."""
         if now >= self._rotate_at or len(self._newer) >= MAXIMUM_SET_SIZE:
             self._older, self._newer = self._newer, set()
             self._rotate_at = now + ROTATION_SECONDS
@@ -40,14 +40,14 @@
 
 
 class CacheAnswerBatches:
-    """Answers that wait for their batch, by relaying node; losing one costs a relayed packet."""
+    """Queued answers by relaying node; they are not resent, as a loss costs one relayed packet."""
 
     def __init__(self) -> None:
         self._records: dict[NodeId, list[FlowRecord]] = {}
         self._due: float | None = None
 
     def put(self, relay: NodeId, record: FlowRecord, now: float) -> bool:
-        """Queue one answer; returns whether it is the first of a batch, so that a timer is set."""
+        """Queue one answer; returns whether it starts a batch, which sets the timer."""
         self._records.setdefault(relay, []).append(record)
         if self._due is not None:
             return False
@@ -55,7 +55,7 @@
         return True
 
     def poll(self, now: float) -> list[Command]:
-        """Return the batches to send, if they are due."""
+        """Return the queued answers as messages if they are due."""
         if self._due is None or self._due > now:
             return []
         commands: list[Command] = []
@@ -68,5 +68,5 @@
         return commands
 
     def next_timer(self) -> float | None:
-        """Return when a batch is due."""
+        """Return when the queued answers are due, if there are any."""
         return self._due
--- a/src/beamloom/routing/deadlines.py
+++ b/src/beamloom/routing/deadlines.py
@@ -1,7 +1,7 @@
-"""Deadlines of flows: a hashed timing wheel (Varghese and Lauck, 1987), O(1) for each operation.
+"""Deadlines of flows in a hashed timing wheel (Varghese and Lauck, 1987).
 
-A deadline is never reported early, and at most one tick after its time. Deadlines further away than
-one turn of the wheel stay in their slot until the turn in which they fall.
+Setting and cancelling a deadline takes O(1). A deadline is due at the first tick at or after its
+time; one that is more than a turn of the wheel away stays in its slot until that turn.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 
 class DeadlineCapacityError(Exception):
-    """The wheel holds as many deadlines as it may; refuse the flow or raise the capacity."""
+    """The wheel holds as many deadlines as its capacity allows."""
 
 
 class DeadlineWheel:
-    """Deadlines by flow key, at most `capacity` at once; a key has one deadline."""
+    """At most `capacity` deadlines, one for each flow key."""
 
     def __init__(self, capacity: int, now: float = 0.0) -> None:
         self._capacity = capacity
@@ -26,22 +26,22 @@
         self._last_tick = math.floor(now / TICK_SECONDS)
 
     def __len__(self) -> int:
-        """Return the number of deadlines held."""
+        """Return the number of scheduled deadlines."""
         return len(self._ticks)
 
     def schedule(self, flow_key: int, at: float) -> None:
-        """Set a flow's deadline, in place of an earlier one; raises DeadlineCapacityError."""
+        """Set or replace a flow's deadline; raises DeadlineCapacityError if the wheel is full."""
         self.cancel(flow_key)
         if len(self._ticks) >= self._capacity:
             raise DeadlineCapacityError(
-                f"{self._capacity} deadlines are held; raise the flow table's capacity"
+                f"deadline wheel is full: {self._capacity} deadlines are scheduled"
             )
         tick = max(math.ceil(at / TICK_SECONDS), self._last_tick + 1)
         self._ticks[flow_key] = tick
         self._slots[tick % SLOT_COUNT].add(flow_key)
 
     def cancel(self, flow_key: int) -> bool:
-        """Drop a flow's deadline; returns whether there was one."""
+        """Remove a flow's deadline; returns whether there was one."""
         tick = self._ticks.pop(flow_key, None)
         if tick is None:
             return False
--- a/src/beamloom/routing/deciding.py
+++ b/src/beamloom/routing/deciding.py
@@ -1,4 +1,4 @@
-"""What a home does with one packet: place, bind, refuse, offer again.
+"""Handling of packets at a flow's home: place, bind, refuse, retry on another backend.
 
 See docs/design/requests.md.
 """
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowPacket:
-    """A client's packet with its flow's key and service; `relay` is the node it came by, if any."""
+    """A client's packet with its flow key and service; `relay` is the node that relayed it."""
 
     key: int
     data: bytes
@@ -44,10 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """Where a packet goes (`backend_number`), or what becomes of it instead.
+    """The outcome for one packet.
 
-    `refusal` is a packet for the client; `drop` says why the packet goes nowhere; neither set and
-    no backend: it is held. `swallowed` says that an answer is not to reach the client.
+    `backend_number` is where a client's packet goes. `drop` is the reason to drop it, and `refusal`
+    a packet to send to the client. If none of the three is set, a client's packet is held until
+    its flow is bound. `suppress_answer` says not to forward a backend's packet to the client.
     """
 
     backend_number: int | None = None
@@ -58,7 +59,7 @@
 
 
 class HomePacketHandler:
-    """The decisions about flows of the partitions that this node owns."""
+    """Handles packets of flows whose partition this node owns."""
 
     def __init__(
         self,
@@ -82,11 +83,11 @@
 
     @property
     def bindings_waiting(self) -> int:
-        """How many flows wait for a replica holder."""
+        """Return how many flows wait for a replica holder to acknowledge their binding."""
         return len(self._bindings)
 
     def predecessor_to_ask(self, packet: FlowPacket, now: float) -> NodeId | None:
-        """Return the former owner when it may have placed this opening packet's flow already."""
+        """Return the partition's former owner if it may already have placed this new flow."""
         owned = self._home.ownership.owned[partition_of(packet.key)]
         former = owned.predecessor
         if not packet.view.opens_flow or owned.grace_until <= now or former == packet.relay:
@@ -98,7 +99,7 @@
     # -- packets of clients ----------------------------------------------------------------------
 
     def decide(self, packet: FlowPacket, now: float) -> Decision:
-        """Decide on one packet of a client."""
+        """Return the outcome for one packet of a client and update its flow's entry."""
         key, view = packet.key, packet.view
         row = self._home.known_row(key, packet.service, now)
         if row is not None and view.opens_flow and self._is_closing(row):
@@ -141,10 +142,10 @@
         return number if self._routes.has_backend(number) else None
 
     def _place_at_base(self, packet: FlowPacket, now: float) -> Decision:
-        """Enter a TCP flow that began before this node knew of it: unknown means base.
+        """Add an entry for an unknown TCP flow that is already open, at its base backend.
 
-        It may be wrong after a crash; then the backend has no such connection and answers with a
-        reset, so that nothing runs twice.
+        After the crash of the former home this backend may be wrong. It then has no such
+        connection and answers with a reset, so no request is executed twice.
         """
         number = self._current_base_backend(packet)
         if number is None:
@@ -186,7 +187,7 @@
         return self._enter(packet, choice, now)
 
     def _enter(self, packet: FlowPacket, choice: Choice, now: float) -> Decision:
-        """Enter an admitted flow; its packet leaves at once or waits for the binding."""
+        """Add an entry for an admitted flow; forward its packet, or hold it until it is bound."""
         key, service, view = packet.key, packet.service, packet.view
         commands = self._bind(key, choice.backend_number, service, now)
         if commands is None:
@@ -205,7 +206,10 @@
     def _bind(
         self, key: int, number: int, service: ServiceRoute, now: float
     ) -> list[Command] | None:
-        """Begin to bind where the service asks for it; None when no more flows can be held."""
+        """Return commands that start a binding if the service requires one.
+
+        None if the limit of held flows is reached.
+        """
         if not service.binds_first:
             return []
         holders = self._sender.holders(partition_of(key))
@@ -216,7 +220,7 @@
         return self._bindings.begin(key, number, holders, now)
 
     def binding_acknowledged(self, key: int, number: int, now: float) -> list[Command]:
-        """Let the packets of a bound flow go."""
+        """Return commands that send the packets held for a flow that is now bound."""
         released = self._bindings.acknowledged(key, number)
         return [] if released is None else self._release(released)
 
@@ -254,18 +258,18 @@
             self._home.lift_deadline(key, row)
 
     def mark_payload_sent(self, key: int) -> None:
-        """Note that another node is given this flow's answer and may forward payload unseen."""
+        """Record that payload may have been sent: another node now caches the flow's backend."""
         row = self._table.rows.get(key)
         if row is not None:
             self._table.flags[row] |= FlowFlag.PAYLOAD_SENT
             self._opening_packets.take(key)
 
-    # -- answers of backends ---------------------------------------------------------------------
+    # -- packets of backends ---------------------------------------------------------------------
 
     def handle_backend_close(
         self, key: int, view: PacketView, service: ServiceRoute, now: float
     ) -> Decision:
-        """Take a FIN or RST of a backend; a refused opening may be offered to another backend."""
+        """Handle a FIN or RST of a backend; a refused new flow may be retried on another one."""
         row = self._home.known_row(key, service, now)
         if row is None:
             return Decision()
@@ -282,7 +286,7 @@
         return Decision()
 
     def _guess_may_be_corrected(self, key: int, row: int, now: float) -> bool:
-        """Whether a holder of replicas may still tell where this flow belongs."""
+        """Whether a replica holder may still push the right backend of a guessed entry."""
         owned = self._home.ownership.owned[partition_of(key)]
         guessed = self._table.flags[row] & FlowFlag.GUESSED
         return bool(guessed) and now - owned.since < REPLICA_PUSH_SECONDS
@@ -290,7 +294,7 @@
     def _retry_on_another_backend(
         self, key: int, row: int, service: ServiceRoute, opening: bytes | None, now: float
     ) -> Decision | None:
-        """Offer a flow whose client has sent nothing but `opening` to another backend, once."""
+        """Move a flow to another backend, at most once, if its client has sent only `opening`."""
         flags = self._table.flags[row]
         if flags & (
             FlowFlag.PAYLOAD_SENT | FlowFlag.HELD
@@ -319,7 +323,7 @@
         return Decision(commands=(resent,), suppress_answer=True)
 
     def poll(self, now: float) -> list[Command]:
-        """Go on with bindings whose holder is silent, and end flows past their deadline."""
+        """Retry or release bindings without an acknowledgement; end flows past their deadline."""
         commands, released = self._bindings.poll(now)
         for flow in released:
             self._counters["bound_alone"] += 1
--- a/src/beamloom/routing/explanation.py
+++ b/src/beamloom/routing/explanation.py
@@ -1,4 +1,4 @@
-"""What a node can tell of one flow, and of its routing as a whole."""
+"""Reports of one flow's state at a node and of the state of its routing as a whole."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FlowRole(Enum):
-    """How a node stands to a flow."""
+    """The kind of state that a node keeps for a flow."""
 
     HOME = "home"
     CACHED = "cached"
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowExplanation:
-    """Which backend a flow has at this node, and why.
+    """The backend of a flow at this node, and the reason for it.
 
-    `since` is when this node first knew of the flow; `is_exception` says that it is not where
-    generation `base_revision` places it; `lease_end` is set for cached copies; `decider` is the
-    node that decides the flow's partition, as far as this node knows; `deadline` is when its home
-    will end it, and `ended_at_deadline` says that it did.
+    `decider` is the node that decides on the flow's partition, as known to this node. `since` is
+    when the entry was inserted or last replaced. `is_exception` marks a flow that its home records
+    as an exception to generation `base_revision`. `lease_end` is set for cached copies. `deadline`
+    is when the home will end the flow, and `ended_at_deadline` says that it has.
     """
 
     service_id: str | None
@@ -66,14 +66,14 @@
 
 
 class FlowExplainer:
-    """Answers what one node knows of a flow."""
+    """Builds explanations of flows from the state of one node."""
 
     def __init__(self, home: Home, replicas: ReplicaStore) -> None:
         self._home = home
         self._replicas = replicas
 
     def explain(self, key: int, flow: FlowTuple) -> FlowExplanation:
-        """Return what is known of a flow whose key is `key`."""
+        """Return the explanation of the flow with key `key`."""
         service = self._home.routes.by_destination.get(flow.destination_key)
         service_id = None if service is None else service.contract.service_id
         row = self._home.table.rows.get(key)
--- a/src/beamloom/routing/fast_path.py
+++ b/src/beamloom/routing/fast_path.py
@@ -1,4 +1,4 @@
-"""The fast path: mid-flow IPv4 packets without options of flows that have an entry at this node."""
+"""The fast path: forwarding of mid-flow IPv4 packets whose flow has an entry at this node."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 
 
 class FastPath:
-    """Looks a packet's backend up in the tables of one node; `seeds` are by IP protocol."""
+    """Looks up a packet's backend in one node's tables; `seeds` holds hash seeds by protocol."""
 
     def __init__(self, table: FlowTable, routes: RouteTable, seeds: Mapping[int, int]) -> None:
         self._table = table
         self._routes = routes
         self._seeds = seeds
 
-    def look_up(  # noqa: PLR0911 - one flat function: each call more costs every packet
+    def look_up(  # noqa: PLR0911 - flat, as each further call adds to the cost of every packet
         self, data: bytes, now: float
     ) -> SocketAddress | None:
-        """Return where to send a packet; None where it needs to be looked at more closely."""
+        """Return the backend address of a packet, or None if it needs the full checks."""
         if len(data) < MINIMUM_PACKET_SIZE or data[0] != IPV4_WITHOUT_OPTIONS:
             return None
         _, total_length, fragment, hop_limit, protocol, hash_input = _HEADER.unpack_from(data)
--- a/src/beamloom/routing/flow_deadlines.py
+++ b/src/beamloom/routing/flow_deadlines.py
@@ -1,6 +1,6 @@
-"""Which flows of a home end when, and the newest packet of each one's client.
+"""Deadlines of the flows at their home, with each client's newest TCP packet.
 
-See docs/design/requests.md.
+Resets are built from that packet when the deadline passes. See docs/design/requests.md.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 @dataclass(slots=True)
 class FlowDeadline:
-    """One flow: when it began, and its client's newest TCP packet.
+    """A flow's start time and the newest TCP packet of its client.
 
-    Only the headers of that packet are kept; `sequence_end` is the number after its last byte.
+    Only the headers of that packet are kept; `sequence_end` is the sequence number that follows it.
     """
 
     began: float
@@ -31,11 +31,11 @@
 
     @property
     def newest_packet(self) -> bytes:
-        """The newest packet, with zeros for its payload; empty when none was seen."""
+        """The newest packet, with its payload zeroed; empty if there was none."""
         return self.headers + bytes(self.payload_size)
 
     def record_packet(self, data: bytes, view: PacketView) -> None:
-        """Keep a packet of the client unless a newer one came before it (RFC 9293, 3.4)."""
+        """Keep a packet of the client unless its sequence number is older (RFC 9293, 3.4)."""
         end = _sequence_end(data, view)
         newest_end = self.sequence_end
         if newest_end is not None and (end - newest_end) % SEQUENCE_MODULUS >= HALF_SEQUENCE_SPACE:
@@ -46,9 +46,9 @@
 
 
 class FlowDeadlines:
-    """Deadlines of the flows that this node is home of, at most `capacity`.
+    """Deadlines of at most `capacity` flows that this node is the home of.
 
-    A flow beyond that has no deadline, which `not_kept` counts.
+    Further flows get no deadline; `rejected` counts them.
     """
 
     def __init__(self, capacity: int = MAXIMUM_FLOWS) -> None:
@@ -57,15 +57,15 @@
         self.rejected = 0
 
     def __len__(self) -> int:
-        """Return the number of flows with a deadline."""
+        """Return the number of flows that have a deadline."""
         return len(self._flows)
 
     def get(self, key: int) -> FlowDeadline | None:
-        """Return what is known of a flow with a deadline."""
+        """Return a flow's record, or None if the flow has no deadline."""
         return self._flows.get(key)
 
     def set(self, key: int, flow: FlowDeadline, at: float) -> bool:
-        """Set a flow's deadline; returns whether there was room."""
+        """Set a flow's deadline; returns False if the capacity is reached."""
         try:
             self._wheel.schedule(key, at)
         except DeadlineCapacityError:
@@ -76,7 +76,7 @@
         return True
 
     def take(self, key: int) -> FlowDeadline | None:
-        """Drop a flow's deadline; returns what was known of it."""
+        """Remove a flow's deadline and return its record, if it had one."""
         flow = self._flows.pop(key, None)
         if flow is not None:
             self._wheel.cancel(key)
--- a/src/beamloom/routing/flow_table.py
+++ b/src/beamloom/routing/flow_table.py
@@ -1,7 +1,7 @@
 """The flow table: columns of packed values and one dict from flow key to row.
 
-A flow costs a dict entry, two small ints and 29 bytes of columns; see
-`beamloom bench forwarding`. Rows of ended flows are reused. Times are the adapter's seconds.
+A flow takes a dict entry, two ints and 29 bytes in the columns; `beamloom bench forwarding`
+measures it. Rows of removed flows are reused. Times are seconds on the adapter's clock.
 """
 
 from __future__ import annotations
@@ -20,12 +20,13 @@
 
 
 class FlowFlag(IntFlag):
-    """What is known of one flow's entry.
+    """State of one flow's entry.
 
-    `PAYLOAD_SENT` is also set when payload may have been sent by another node. `GUESSED` marks an
-    entry that a home made after a crash for a flow it did not know. `DEADLINE` marks a flow whose
-    home must see each packet, since it ends it at its deadline; closed on both sides as well, one
-    that was ended so.
+    `HOME` marks an entry of the flow's home; others are cached copies. `PAYLOAD_SENT` is also set
+    if another node may have sent payload. `GUESSED` marks an entry that a home made for an unknown
+    flow after a crash, at the flow's base backend. `HELD` marks a flow whose packets wait for its
+    binding. `DEADLINE` marks a flow that its home ends at a deadline, so it takes no fast path;
+    together with both `CLOSED` flags it marks a flow that was ended at its deadline.
     """
 
     HOME = 1
@@ -39,10 +40,11 @@
 
 
 class FlowTable:
-    """Entries of flows known at this node.
+    """Entries of the flows known at this node.
 
-    `deadline` is when a cached copy's lease ends, or when an entry held as home ends if no packet
-    comes. `created` is when this node first knew of the flow.
+    `deadline` is when an entry expires: at the end of its lease for a cached copy, otherwise after
+    the idle timeout, or some seconds after both sides closed the flow. `created` is when the entry
+    was last inserted or replaced.
     """
 
     def __init__(self) -> None:
@@ -84,18 +86,18 @@
         return row
 
     def remove(self, key: int) -> None:
-        """Forget a flow; unknown keys are ignored."""
+        """Remove the entry of a flow; unknown keys are ignored."""
         row = self.rows.pop(key, None)
         if row is not None:
             self._free.append(row)
             self.deadline[row] = NEVER
 
     def items(self) -> Iterator[tuple[int, int]]:
-        """Yield (key, row) of every entry; the table must not change meanwhile."""
+        """Iterate over (key, row) of every entry; the table must not change meanwhile."""
         return iter(self.rows.items())
 
     def rows_in(self, partitions: Iterable[int]) -> list[tuple[int, int]]:
-        """Return (key, row) of every entry in some partitions, by one scan of the columns."""
+        """Return (key, row) of every entry in the partitions, by one scan of the columns."""
         wanted = np.zeros(PARTITION_COUNT, dtype=np.bool_)
         wanted[list(partitions)] = True
         keys = np.array(self._keys, dtype=np.uint64)
@@ -104,15 +106,15 @@
         return [(key, row) for key, row in pairs if self.rows.get(key) == row]
 
     def keys_with_backends(self, numbers: Iterable[int]) -> list[int]:
-        """Return the keys of the flows that go to some backends, by one scan of the columns."""
+        """Return the keys of the flows to these backends, by one scan of the columns."""
         column = np.array(self.backend, dtype=np.uint32)
         found = np.flatnonzero(np.isin(column, np.array(list(numbers), dtype=np.uint32)))
         return [self._keys[row] for row in found if self.rows.get(self._keys[row]) == row]
 
     def expired(self, now: float) -> list[int]:
-        """Look at the next rows in turn and return the keys of those whose deadline passed.
+        """Return the keys of expired entries among the next `SWEEP_ROWS` rows.
 
-        A whole round of the table takes `len(table) / SWEEP_ROWS` calls.
+        Successive calls go through the table in turn and start again at its end.
         """
         count = len(self._keys)
         if not count:
--- a/src/beamloom/routing/forwarder.py
+++ b/src/beamloom/routing/forwarder.py
@@ -1,7 +1,8 @@
-"""Forwarding: where one packet goes. The entry of routing for the node and its adapters.
+"""Forwarding of packets: the interface of routing to the node and its adapters.
 
-The fast path (`fast_path.py`) serves mid-flow IPv4 packets of flows with an entry at this node;
-everything else is parsed here with every check. See docs/design/core.md and docs/design/flows.md.
+The fast path (`fast_path.py`) forwards mid-flow IPv4 packets of flows that have an entry at this
+node. All other packets are fully parsed and checked here. See docs/design/core.md and
+docs/design/flows.md.
 """
 
 from __future__ import annotations
@@ -64,8 +65,8 @@
 class Forwarder:
     """The data path of one node.
 
-    `gateways` are the fabric addresses that answers are sent to; `hooks` are the neighbours that
-    admit flows, build refusals and know the health of backends.
+    `gateways` are the fabric addresses that packets for clients are sent to. `hooks` give access
+    to admission control, the building of refusal packets and backend health.
     """
 
     def __init__(
@@ -108,12 +109,15 @@
         self._timer_is_earlier = False
         self._leave_complete = False
 
-    # -- what the node tells -------------------------------------------------------------------
+    # -- configuration, membership and commands ------------------------------------------------
 
     def update_services(
         self, changed: Sequence[ServiceContract], removed: Sequence[int], now: float = 0.0
     ) -> None:
-        """Put configuration changes in force; `removed` holds service numbers."""
+        """Apply configuration changes and forget flows of backends that these remove.
+
+        `removed` holds service numbers.
+        """
         lost_backends = self.routes.numbers_lost(changed, removed)
         if lost_backends:
             for key in self.table.keys_with_backends(lost_backends):
@@ -123,7 +127,7 @@
             self.routes.remove(service_number)
 
     def update_members(self, members: Sequence[Member], now: float) -> None:
-        """Take over a new member list and reassign partitions."""
+        """Replace the member list and reassign partitions."""
         self._peers = {
             member.machine.peer_address: member.machine.node_id
             for member in members
@@ -132,24 +136,24 @@
         self._transfers.members_changed(self.ownership.update(members, now), now)
 
     def begin_leave(self, now: float) -> None:
-        """Begin to hand every partition over; see `leave_complete`."""
+        """Start to hand over every partition; `leave_complete` reports when that is done."""
         self.ownership.leaving = True
         self._transfers.members_changed(self.ownership.reassign(now), now)
 
     @property
     def leave_complete(self) -> bool:
-        """Whether this node, which is leaving, has handed over all and relayed for the grace."""
+        """Whether this node may stop: it is leaving, and no transfer or relaying is left to do."""
         return self._leave_complete
 
     def take_commands(self) -> list[Command]:
-        """Return and clear what forwarding asked for besides the answered address."""
+        """Return and clear the commands that forwarding has queued."""
         commands, self._commands = self._commands, []
         self._timer_is_earlier = False
         return commands
 
     @property
     def has_commands(self) -> bool:
-        """Whether a packet left commands to take, or made the timer earlier than was last told."""
+        """Whether commands are queued or a packet made `next_timer` earlier than last returned."""
         return bool(self._commands) or self._timer_is_earlier
 
     # -- the hot path --------------------------------------------------------------------------
@@ -157,7 +161,10 @@
     def forward(
         self, data: bytes, source: SocketAddress, from_peer: bool, now: float
     ) -> SocketAddress | None:
-        """Return where to send these bytes, or None when they are dropped or were changed."""
+        """Return the address to send `data` to, unchanged.
+
+        None if the packet is dropped, held back, or sent by a queued command instead.
+        """
         if not from_peer:
             address = self._look_up_fast(data, now)
             if address is not None:
@@ -216,10 +223,10 @@
     def _cached_address(
         self, key: int, view: PacketView, service: ServiceRoute, relay: NodeId | None, now: float
     ) -> SocketAddress | None:
-        """Return the cached backend unless the home must see the packet or the lease is over.
+        """Return the cached backend, or None if the lease has expired or the home must decide.
 
-        A node that has just handed the partition over still vouches for flows it has placed, so
-        that a retransmitted SYN ends where the first one did.
+        The home decides on packets that open or close a flow. A node that has just handed the
+        partition over is an exception: it sends a retransmitted SYN to the backend of the first.
         """
         row = self.table.rows.get(key)
         if row is None:
@@ -238,13 +245,13 @@
         return not closed and (partition in ownership.handed or partition in ownership.frozen)
 
     def _hold_until_handover(self, partition: int, data: bytes, relay: NodeId) -> None:
-        """Keep what a frozen owner passes on while its HANDOVER is under way."""
+        """Buffer a packet that a frozen owner relayed until its HANDOVER arrives."""
         awaited = partition in self.ownership.awaited
         if not awaited or not self._handover_buffer.hold(partition, data, relay):
             raise PacketError(DropReason.HANDOVER_PENDING)
 
     def _partition_acquired(self, item: Acquired, now: float) -> None:
-        """Decide the packets that waited for this partition."""
+        """Forward the packets that were buffered until this partition was acquired."""
         for packet in self._handover_buffer.release(item.partition):
             member = self.ownership.members.get(packet.relay)
             if member is None:
@@ -282,7 +289,7 @@
         return self.routes.backends[number].address
 
     def _should_send_cache_answer(self, packet: FlowPacket, relay: NodeId, now: float) -> bool:
-        """Whether the relaying node may keep a copy, and has had this flow before."""
+        """Whether the relaying node may cache the flow's backend and has relayed it before."""
         if packet.view.opens_flow or packet.view.closes_flow or packet.service.deadline:
             return False
         return self._relayed_flows.record(packet.key, relay, now)
@@ -290,7 +297,7 @@
     def _send_to_client(self, key: int, packet: bytes) -> None:
         self._commands.append(SendPacket(LocalSocket.DATA, self._gateway(key), packet))
 
-    # -- answers -------------------------------------------------------------------------------
+    # -- packets of backends -------------------------------------------------------------------
 
     def _forward_answer(
         self,
@@ -323,7 +330,7 @@
     # -- messages and timers -------------------------------------------------------------------
 
     def handle_message(self, sender: NodeId, message: Message, now: float) -> list[Command]:
-        """Take one message about flows; kinds of other components are ignored."""
+        """Handle a message about flows and return commands; other messages are ignored."""
         try:
             match message:
                 case CacheAnswers(packed_records):
@@ -350,7 +357,7 @@
             self.table.insert(record.key, record.backend_number, _PAYLOAD_SENT, deadline, now)
 
     def poll(self, now: float) -> list[Command]:
-        """Do what is due: answers, replicas, transfers, bindings, entries that have ended."""
+        """Run what is due: cache answers, expiry of entries, transfers, replicas, deadlines."""
         commands = self._cache_answers.poll(now)
         if self._tick_due <= now:
             self._tick_due = now + TICK_SECONDS
@@ -363,7 +370,7 @@
         return commands + self.take_commands()
 
     def next_timer(self) -> float | None:
-        """Return when `poll` has something to do."""
+        """Return when `poll` is due next."""
         self._reported_timer = self._next_due()
         return self._reported_timer
 
@@ -373,7 +380,7 @@
     # -- explanations --------------------------------------------------------------------------
 
     def explain(self, flow: FlowTuple) -> FlowExplanation:
-        """Return what this node knows of a flow, given from the client's side."""
+        """Return this node's state of a flow; `flow` is in the client-to-backend direction."""
         return self._explainer.explain(self._key(flow), flow)
 
     def snapshot(self) -> RoutingSnapshot:
--- a/src/beamloom/routing/hashing.py
+++ b/src/beamloom/routing/hashing.py
@@ -1,7 +1,7 @@
 """Keyed hashing: flow keys, partitions, slots and rendezvous scores.
 
-A flow key is 60 bits of xxh3 (so that a Python int of it takes two digits) keyed by the fleet's
-hash key. Its lowest bits name the partition, the next ones the slot.
+A flow key is the low 60 bits of an xxh3 hash, seeded from the fleet's hash key; a Python int of 60
+bits takes only two digits. Its lowest 12 bits are the partition, the next 10 the slot.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 
 def flow_seed(hash_key: bytes, protocol: int) -> int:
-    """Return the xxh3 seed for flows of one transport protocol under the fleet's key."""
+    """Return the xxh3 seed for flows of one transport protocol."""
     return xxhash.xxh3_64_intdigest(hash_key + bytes((protocol,)))
 
 
 def flow_key(hash_input: bytes, seed: int) -> int:
-    """Return the 60-bit key of a flow from its addresses and ports."""
+    """Return the 60-bit flow key; `hash_input` holds the addresses and ports."""
     return xxhash.xxh3_64_intdigest(hash_input, seed) & FLOW_KEY_MASK
 
 
@@ -52,14 +52,14 @@
 
 
 def rendezvous_scores(item_count: int, seed: int) -> Scores:
-    """Return one candidate's score for each of the items 0 to item_count - 1."""
+    """Return one candidate's scores for the items 0 to item_count - 1."""
     return rendezvous_matrix(np.arange(item_count), np.uint64(seed))
 
 
 def rendezvous_matrix(items: npt.NDArray[Any], seeds: Scores | np.uint64) -> Scores:
-    """Return the scores of items under candidates' seeds; the two arrays are broadcast.
+    """Return the scores of items for candidates' seeds; the two arrays are broadcast.
 
-    The finalizer is splitmix64's (Steele, Lea and Flood 2014), vectorised.
+    The mixing function is the finalizer of splitmix64 (Steele, Lea and Flood 2014).
     """
     with np.errstate(over="ignore"):
         mixed = (items.astype(np.uint64) + np.uint64(1)) * _MIX_INCREMENT
--- a/src/beamloom/routing/hooks.py
+++ b/src/beamloom/routing/hooks.py
@@ -1,6 +1,7 @@
-"""What routing asks of its neighbours: admission, refusals and the health of backends.
+"""Interfaces that routing calls: admission control, refusal packets and backend health.
 
-Routing may not import its sibling packages, so `node` fills these in; the defaults permit all.
+Routing must not import its sibling packages, so `node` passes in the implementations. The defaults
+admit every flow.
 """
 
 from __future__ import annotations
@@ -13,67 +14,67 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowVerdict:
-    """Whether a new flow is admitted; `retry_after` is in seconds and counts where it is not."""
+    """Whether a new flow is admitted; if not, the client may retry after `retry_after` seconds."""
 
     admitted: bool
     retry_after: float = 1.0
 
 
 class AdmissionGate(Protocol):
-    """Limits on new flows and the budget for retries, by service."""
+    """Limits on new flows and retry budgets."""
 
     def admit_flow(self, service: ServiceContract, now: float) -> FlowVerdict:
-        """Decide on one new flow; an admitted one counts as open until `flow_ended`."""
+        """Decide on a new flow; an admitted flow counts as open until `flow_ended`."""
 
     def flow_taken_over(self, service: ServiceContract) -> None:
-        """Count as open a flow that was admitted earlier or elsewhere."""
+        """Count a flow as open that was admitted earlier or by another node."""
 
     def flow_ended(self, service: ServiceContract) -> None:
-        """Count an open flow as ended, or as another home's."""
+        """Stop counting a flow as open: it has ended or another node is now its home."""
 
     def take_retry(self, service: ServiceContract, now: float) -> bool:
-        """Return whether a refused flow may be offered to a second backend."""
+        """Take one retry from the service's budget; returns whether there was one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cancellation:
-    """Packets that end a flow; None where none can be made and the next packet must be awaited."""
+    """Packets that end a flow at its two sides; None if no packet can be built for a side."""
 
     to_client: bytes | None = None
     to_backend: bytes | None = None
 
 
 class RefusalBuilder(Protocol):
-    """Makes the packets that refuse a flow, or end one that ran."""
+    """Builds packets that refuse a new flow or end an open one."""
 
     def build(self, packet: bytes, retry_after: float, no_backend: bool) -> bytes | None:
-        """Return the answer to a flow's first packet, or None to stay silent."""
+        """Return the refusal of a flow's first packet, or None to send nothing."""
 
     def cancel(self, packet: bytes, may_have_run: bool) -> Cancellation:
-        """Return what ends a TCP flow at both sides; `packet` is its client's newest."""
+        """Return resets for both sides of a TCP flow; `packet` is the newest of its client."""
 
 
 class BackendHealth(Protocol):
-    """What is observed of backends."""
+    """Operating status of backends, and observations of them by routing."""
 
     def status(self, backend_number: int) -> BackendOperatingStatus:
         """Return the operating status of a backend."""
 
     def weight_factor(self, backend_number: int) -> float:
-        """Return the factor, 0 to 1, on a backend's share (cold start, distrust)."""
+        """Return the factor that a backend's weight is multiplied by."""
 
     def observe_refusal(self, backend_number: int, now: float) -> None:
-        """Take that a backend refused a connection: a reset in answer to its opening packet."""
+        """Record that a backend answered the opening packet of a flow with a reset."""
 
     def observe_answer_time(self, backend_number: int, seconds: float, now: float) -> None:
-        """Take how long a backend took from a flow's first payload to its first answer."""
+        """Record the time from a flow's first payload to the backend's first payload."""
 
 
 class PermissiveAdmission:
     """Admits every flow and allows every retry."""
 
     def admit_flow(self, service: ServiceContract, now: float) -> FlowVerdict:
-        """Admit."""
+        """Admit the flow."""
         return FlowVerdict(admitted=True)
 
     def flow_taken_over(self, service: ServiceContract) -> None:
@@ -83,12 +84,12 @@
         """Count nothing."""
 
     def take_retry(self, service: ServiceContract, now: float) -> bool:
-        """Allow."""
+        """Allow the retry."""
         return True
 
 
 class SilentRefusal:
-    """Refuses by silence."""
+    """Builds no packets, so refused flows are dropped without an answer."""
 
     def build(self, packet: bytes, retry_after: float, no_backend: bool) -> bytes | None:
         """Return nothing to send."""
@@ -100,7 +101,7 @@
 
 
 class AssumedHealth:
-    """Takes every backend for online and at full weight."""
+    """Reports every backend as online and at full weight."""
 
     def status(self, backend_number: int) -> BackendOperatingStatus:
         """Return ONLINE."""
@@ -111,18 +112,18 @@
         return 1.0
 
     def observe_refusal(self, backend_number: int, now: float) -> None:
-        """Take no notice."""
+        """Ignore the observation."""
 
     def observe_answer_time(self, backend_number: int, seconds: float, now: float) -> None:
-        """Take no notice."""
+        """Ignore the observation."""
 
 
 @dataclass(slots=True)
 class TrafficMeter:
-    """One tenant's packets at this node, shared by its services' routes.
+    """Packet count and block flag of one tenant at this node, shared by its services' routes.
 
-    Forwarding adds to `packets` and drops while `blocked` is set; admission reads the one and sets
-    the other, so the hot path pays for two attribute accesses.
+    Forwarding increments `packets` and drops packets while `blocked` is set. Admission control
+    reads `packets` and sets `blocked`, which keeps the cost per packet to two attribute accesses.
     """
 
     packets: int = 0
@@ -131,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingHooks:
-    """The neighbours of one forwarder."""
+    """The implementations that one forwarder calls."""
 
     admission: AdmissionGate
     refusals: RefusalBuilder
@@ -139,5 +140,5 @@
 
 
 def permissive_hooks() -> RoutingHooks:
-    """Return hooks that admit everything."""
+    """Return hooks that admit every flow and report every backend as online."""
     return RoutingHooks(PermissiveAdmission(), SilentRefusal(), AssumedHealth())
--- a/src/beamloom/routing/late_flows.py
+++ b/src/beamloom/routing/late_flows.py
@@ -1,4 +1,4 @@
-"""Ends flows whose `request.deadline` has passed: a reset to each side, and packets no further."""
+"""Ends TCP flows at their `request.deadline` by a reset to each side."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 class DeadlineEnforcer:
-    """The flows of one home that are past their deadline; `gateway` tells where a client is."""
+    """Ends the flows of one home at their deadline.
+
+    `gateway` returns the address that packets for a flow's client are sent to, by flow key.
+    """
 
     def __init__(
         self, home: Home, gateway: Callable[[int], SocketAddress], counters: Counter[str]
@@ -30,14 +33,14 @@
         return self._home.table.flags[row] & ENDED_AT_DEADLINE == ENDED_AT_DEADLINE
 
     def poll(self, now: float) -> list[Command]:
-        """End the flows whose deadline has passed; returns the resets."""
+        """End the flows whose deadline has passed and return the resets to send."""
         commands: list[Command] = []
         for key, flow in self._home.deadlines.due(now):
             commands.extend(self._deadline_reached(key, flow, now))
         return commands
 
     def _deadline_reached(self, key: int, flow: FlowDeadline, now: float) -> list[Command]:
-        """End a flow, unless its service's deadline was raised or taken away since."""
+        """End a flow, unless its service's deadline was raised or removed since it was set."""
         row = self._home.table.rows.get(key)
         route = None if row is None else self._home.routes.backends.get(self._home.backend_of(row))
         if row is None or route is None:
@@ -53,7 +56,7 @@
         return []
 
     def resets(self, key: int, row: int, packet: bytes) -> list[Command]:
-        """Return resets for both sides made from a client's packet, as far as it allows."""
+        """Return resets for both sides, as far as they can be built from a client's packet."""
         if not packet:
             return []
         may_have_run = bool(self._home.table.flags[row] & FlowFlag.PAYLOAD_SENT)
--- a/src/beamloom/routing/openings.py
+++ b/src/beamloom/routing/openings.py
@@ -1,4 +1,4 @@
-"""Opening packets that a home keeps: to offer them again, or until a hand-over is complete."""
+"""Buffers of packets: SYNs kept for a retry, and packets waiting for a partition's handover."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class OpeningPacketBuffer:
-    """The SYN of each recent flow that has sent no payload; the oldest give way."""
+    """SYNs of recent flows whose client has sent nothing else; the oldest are dropped first."""
 
     def __init__(self) -> None:
         self._packets: dict[int, bytes] = {}
         self._bytes = 0
 
     def keep(self, key: int, packet: bytes) -> None:
-        """Keep a flow's opening packet; an empty one says that it is not to be offered again."""
+        """Keep a flow's opening packet; an empty one marks a flow that was retried already."""
         self.take(key)
         self._packets[key] = packet
         self._bytes += len(packet)
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BufferedPacket:
-    """A packet that a frozen owner passed on before its HANDOVER arrived."""
+    """A packet that a frozen owner relayed before its HANDOVER arrived."""
 
     data: bytes
     relay: NodeId
@@ -45,14 +45,14 @@
 
 @dataclass(slots=True)
 class HandoverBuffer:
-    """Packets that wait for the HANDOVER of their partition, bounded in number and bytes."""
+    """Packets waiting for the HANDOVER of their partition, bounded in number and bytes."""
 
     _packets: dict[int, list[BufferedPacket]] = field(default_factory=dict)
     _count: int = 0
     _bytes: int = 0
 
     def hold(self, partition: int, data: bytes, relay: NodeId) -> bool:
-        """Keep a packet; returns whether there was room."""
+        """Buffer a packet; returns False if the buffer is full."""
         if (
             self._count >= MAXIMUM_HANDOVER_PACKETS
             or self._bytes + len(data) > MAXIMUM_HANDOVER_BYTES
--- a/src/beamloom/routing/packet.py
+++ b/src/beamloom/routing/packet.py
@@ -1,8 +1,8 @@
-"""Fixed-offset reading of the IP packets that ride in UDP (Foo-over-UDP, GUE variant 1).
+"""Fixed-offset parsing of the IP packets carried in UDP (Foo-over-UDP, GUE variant 1).
 
-Only what the forwarding decision needs is read. Sources: RFC 791, RFC 8200, RFC 9293, RFC 768,
-RFC 792, RFC 4443. IPv6 extension headers other than none are refused: they are fragments or
-options, and neither can be placed by ports.
+Only the fields that forwarding needs are read (RFC 791, RFC 8200, RFC 9293, RFC 768, RFC 792,
+RFC 4443). Fragments, IPv4 options and IPv6 extension headers are rejected, because the ports are
+then missing or not at a fixed offset.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class DropReason(Enum):
-    """Why a packet was dropped; the values are counter labels."""
+    """Why a packet was dropped; the values are names of counters."""
 
     TRUNCATED = "truncated"
     MALFORMED = "malformed"
@@ -65,7 +65,7 @@
 
 
 class PacketError(Exception):
-    """A packet that cannot be forwarded; `reason` says what to count."""
+    """A packet is dropped; `reason` names the counter to increment."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(f"packet dropped: {reason.value}")
@@ -74,9 +74,9 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowTuple:
-    """What identifies a flow, from the client's side: addresses are 4 or 16 bytes.
+    """Addresses, protocol and ports of a packet, which identify its flow and direction.
 
-    `ports` holds source then destination port as on the wire.
+    Addresses are 4 or 16 bytes. `ports` holds the source and destination port as on the wire.
     """
 
     source: bytes
@@ -91,26 +91,26 @@
 
     @property
     def hash_input(self) -> bytes:
-        """The bytes that the flow key is made of: source, destination, ports."""
+        """The input of the flow key's hash: source, destination, ports."""
         return self.source + self.destination + self.ports
 
     @property
     def destination_key(self) -> bytes:
-        """What names a service: destination address, destination port, protocol."""
+        """Destination address, port and protocol: the key of the service a packet is sent to."""
         return self.destination + self.ports[2:] + bytes((self.protocol,))
 
     @property
     def source_key(self) -> bytes:
-        """The same for the source: set when the packet is a service's answer."""
+        """Source address, port and protocol: the key of the service that sent the packet."""
         return self.source + self.ports[:2] + bytes((self.protocol,))
 
 
 @dataclass(frozen=True, slots=True)
 class PacketView:
-    """A checked packet: its flow tuple, TCP flags (0 for UDP) and payload size in bytes.
+    """A parsed packet: its flow tuple, TCP flags (0 if not TCP) and payload size in bytes.
 
-    `is_error` marks an ICMP error; its tuple is that of the flow the error is about, in the
-    direction of the packet that carries the error.
+    `is_error` marks an ICMP error. Its tuple is that of the quoted packet, reversed: the direction
+    in which the error travels.
     """
 
     flow: FlowTuple
@@ -130,7 +130,7 @@
 
 
 def parse_packet(data: bytes) -> PacketView:
-    """Check one IP packet and read what forwarding needs; raises PacketError with the reason."""
+    """Check and parse one IP packet; raises PacketError with the reason to drop it."""
     if not data:
         raise PacketError(DropReason.TRUNCATED)
     version = data[0] >> 4
@@ -197,7 +197,7 @@
 
 
 def _parse_icmp_error(data: bytes, offset: int, version: int) -> PacketView:
-    """Read an ICMP error and name the flow it is about, seen in the error's own direction."""
+    """Parse an ICMP error into the flow of the quoted packet, in the error's direction."""
     if len(data) < offset + ICMP_HEADER_SIZE:
         raise PacketError(DropReason.TRUNCATED)
     icmp_type = data[offset]
@@ -228,10 +228,10 @@
 
 
 def with_hop_limit_decremented(data: bytes, maximum: int = MAXIMUM_HOP_LIMIT) -> bytes:
-    """Return the packet one hop on; raises PacketError(HOP_LIMIT) when it may not go further.
+    """Return the packet with its hop limit (IPv4: TTL) reduced by at least 1.
 
-    The new hop limit is at most `maximum`, which bounds relaying among nodes. The IPv4 header
-    checksum is updated incrementally (RFC 1624, equation 3).
+    The new hop limit is at most `maximum`, which bounds relaying among nodes. Raises PacketError if
+    it would be 0. The IPv4 header checksum is updated incrementally (RFC 1624, equation 3).
     """
     offset = IPV6_HOP_LIMIT_OFFSET if data[0] >> 4 == 6 else IPV4_TTL_OFFSET
     before = data[offset]
@@ -246,7 +246,7 @@
 
 
 def _update_ipv4_checksum(packet: bytearray, before: int, after: int) -> None:
-    """Correct the header checksum for one 16-bit word that changed (RFC 1624, equation 3)."""
+    """Update the header checksum for one changed 16-bit word (RFC 1624, equation 3)."""
     end = IPV4_CHECKSUM_OFFSET + 2
     checksum = int.from_bytes(packet[IPV4_CHECKSUM_OFFSET:end], "big")
     total = (~checksum & 0xFFFF) + (~before & 0xFFFF) + after
--- a/src/beamloom/routing/streams.py
+++ b/src/beamloom/routing/streams.py
@@ -1,9 +1,10 @@
-"""Reliable, ordered streams of flow records to peers, one batch in flight for each peer.
+"""Reliable, ordered streams of flow records to peers, with one batch in flight for each peer.
 
-What waits is coalesced by flow key and by partition, so a burst costs memory here and not the
-control budget. At most `maximum_in_flight` batches of at most `BATCH_BYTES` are unacknowledged at
-any time; a batch is resent after 0.5 s, doubling up to 4 s. Since a batch leaves only when the one
-before it was acknowledged, the receiver takes them in order and ignores numbers it has seen.
+Queued items are coalesced by flow key and by partition, so a burst takes memory here instead of
+the control budget. At most `maximum_in_flight` batches of about `BATCH_BYTES` are unacknowledged at
+any time. A batch is resent after 0.5 s, then at intervals that double up to 4 s. A batch is sent
+only after the previous one was acknowledged, so the receiver handles them in order and can ignore
+numbers it has already handled.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartitionNote:
-    """A mark for one partition with its base revision."""
+    """A partition's mark in a batch, with the partition's base revision."""
 
     mark: PartitionMark
     base: int
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True)
 class InFlightBatch:
-    """A batch that is not acknowledged yet; `closed` holds the partitions it closes."""
+    """An unacknowledged batch; `closed` holds the partitions with a closing mark in it."""
 
     message: SynchronizationBatch
     closed: dict[int, PartitionNote]
@@ -55,9 +56,10 @@
 
 @dataclass(slots=True)
 class PeerStream:
-    """What waits for one peer: all openings leave first, then all records, then the closings.
+    """Items queued for one peer; all openings are sent first, then all records, then closings.
 
-    A record that overtook the opening of its partition would count as not repeated.
+    The receiver would discard a record that arrived before the opening mark of its partition: at
+    the closing mark it drops every record that was not sent again since the opening mark.
     """
 
     openings: dict[int, PartitionNote] = field(default_factory=dict)
@@ -67,49 +69,55 @@
 
     @property
     def waiting(self) -> bool:
-        """Whether there is anything that no batch has carried yet."""
+        """Whether there are items that are not in a batch yet."""
         return bool(self.openings or self.records or self.closings)
 
 
 class StreamSet:
-    """Streams of one message class to all peers; `closing` is told what a new batch closes."""
+    """Streams of one message class to all peers.
+
+    `on_closing` is called with the peer and the partitions that a new batch is about to close.
+    """
 
     def __init__(
         self,
         message_type: type[SynchronizationBatch],
         maximum_in_flight: int,
-        on_closings_sent: Callable[[NodeId, dict[int, PartitionNote]], None] | None = None,
+        on_closing: Callable[[NodeId, dict[int, PartitionNote]], None] | None = None,
     ) -> None:
         self._message_type = message_type
         self._maximum_in_flight = maximum_in_flight
-        self._on_closings_sent = on_closings_sent
+        self._on_closing = on_closing
         self._streams: dict[NodeId, PeerStream] = {}
         self._numbers: dict[NodeId, int] = {}
 
     def stream(self, peer: NodeId) -> PeerStream:
-        """Return the stream to a peer, made when first asked for."""
+        """Return the stream to a peer; it is created on first use."""
         return self._streams.setdefault(peer, PeerStream())
 
     def put(self, peer: NodeId, key: int, backend_number: int) -> None:
-        """Queue one record; a later one for the same flow replaces it."""
+        """Queue one record, replacing a queued one of the same flow."""
         self.stream(peer).records[key] = backend_number
 
     def forget(self, peer: NodeId) -> None:
-        """Drop everything for a peer that no longer answers."""
+        """Drop everything queued or in flight for a peer."""
         self._streams.pop(peer, None)
 
     @property
     def idle(self) -> bool:
-        """Whether nothing waits and nothing is unacknowledged."""
+        """Whether nothing is queued or in flight."""
         return not any(item.waiting or item.in_flight for item in self._streams.values())
 
     @property
     def waiting_records(self) -> int:
-        """How many records no batch has carried yet."""
+        """The number of queued records, without those in flight."""
         return sum(len(item.records) for item in self._streams.values())
 
     def acknowledge(self, peer: NodeId, number: int) -> dict[int, PartitionNote]:
-        """Take an acknowledgement and return what that batch closed; empty for an old one."""
+        """Handle an acknowledgement; returns the partitions that the batch closed.
+
+        Empty if the batch is not the one in flight.
+        """
         stream = self._streams.get(peer)
         if stream is None or stream.in_flight is None or stream.in_flight.message.number != number:
             return {}
@@ -118,7 +126,7 @@
         return closed
 
     def flush(self, now: float) -> list[Command]:
-        """Resend what is overdue and send new batches while the bound allows."""
+        """Return overdue batches to resend, and new batches up to the limit in flight."""
         commands: list[Command] = []
         batches_in_flight = sum(item.in_flight is not None for item in self._streams.values())
         for peer, stream in list(self._streams.items()):
@@ -144,8 +152,8 @@
         self._numbers[peer] = number
         message = self._message_type(number, openings, records, _encode_group(closed)[0])
         stream.in_flight = InFlightBatch(message, closed, now + FIRST_RESEND_SECONDS)
-        if closed and self._on_closings_sent is not None:
-            self._on_closings_sent(peer, closed)
+        if closed and self._on_closing is not None:
+            self._on_closing(peer, closed)
         return message
 
 
@@ -158,7 +166,7 @@
 
 
 def _take_group(notes: dict[int, PartitionNote]) -> dict[int, PartitionNote]:
-    """Remove and return partitions that share the oldest note, as many as pack into one set."""
+    """Remove and return the partitions that share the oldest note, as many as fit one set."""
     if not notes:
         return {}
     note = next(iter(notes.values()))
@@ -168,7 +176,7 @@
 
 
 def _encode_group(group: dict[int, PartitionNote]) -> tuple[list[list[object]], int]:
-    """Return the wire form of a group and about how many bytes it takes."""
+    """Return the wire form of a group and its approximate size in bytes."""
     if not group:
         return [], 0
     note = next(iter(group.values()))
@@ -177,7 +185,7 @@
 
 
 def read_notes(groups: object) -> list[tuple[int, PartitionNote]]:
-    """Read marked groups of partitions; raises MalformedDatagramError."""
+    """Parse marked groups of partitions; raises MalformedDatagramError."""
     if not isinstance(groups, list):
         raise MalformedDatagramError("partition notes are not a list")
     notes: list[tuple[int, PartitionNote]] = []
