--- a/tests/unit/routing/fleet.py
+++ b/tests/unit/routing/fleet.py
@@ -1,4 +1,4 @@
-"""A few forwarders joined by queues on a virtual clock, and flows that notice where they end."""
+"""A fleet of forwarders connected by a message queue, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 def tcp(
     client: int, flags: int, payload: bytes = b"", port: int = PORT, sequence: int = 1
 ) -> bytes:
-    """Build a TCP packet from client number `client` (no checksums: nothing here checks them)."""
+    """Build a TCP packet of a client, with checksums of 0."""
     segment = struct.pack("!HHIIBBHHH", 1000, port, sequence, 1, 0x50, flags, 100, 0, 0) + payload
     return _ip(client, 6, segment)
 
@@ -51,7 +51,7 @@
 
 
 def answer(client: int, flags: int, port: int = PORT, payload: bytes = b"") -> bytes:
-    """Build the backend's TCP packet towards a client."""
+    """Build a TCP packet from the service to a client."""
     segment = struct.pack("!HHIIBBHHH", port, 1000, 1, 1, 0x50, flags, 100, 0, 0) + payload
     head = struct.pack("!BBHHHBBH", 0x45, 0, 20 + len(segment), 0, 0, 64, 6, 0)
     return head + VirtualAddress(SERVICE_IP, 6, 1).packed_ip + _address(client) + segment
@@ -93,9 +93,9 @@
 
 @dataclass
 class Fleet:
-    """Forwarders, the packets and messages under way, and what reached backends.
+    """Forwarders, packets and messages in transit, and packets sent to backends and clients.
 
-    With `bytes_per_second` each node's messages wait for a control budget, as in a real node.
+    With `bytes_per_second`, each node sends its messages through a control budget of that rate.
     """
 
     seed: int = 1
@@ -111,7 +111,7 @@
     sent_messages: list[tuple[NodeId, Message]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.chance = random.Random(self.seed)
+        self.rng = random.Random(self.seed)
         self._queue: list[tuple[float, int, NodeId, object, object]] = []
         self._order = 0
         self._budgets: dict[NodeId, ControlBudget] = {}
@@ -132,7 +132,7 @@
             self.tell()
 
     def tell(self, only: Iterable[NodeId] | None = None, without: Iterable[NodeId] = ()) -> None:
-        """Give the true member list to all nodes, or to some, or one that lacks some members."""
+        """Send the member list, except members in `without`, to all nodes or to those in `only`."""
         lacking = set(without)
         members = [item for key, item in self.members.items() if key not in lacking]
         for node_id in list(self.nodes) if only is None else only:
@@ -150,7 +150,7 @@
             self.tell()
 
     def leave(self, node_id: NodeId, limit: float = 60.0) -> bool:
-        """Let a node leave as planned; returns whether it completed within `limit` seconds."""
+        """Stop a node as planned; returns whether it completed its leave within `limit` seconds."""
         self.nodes[node_id].begin_leave(self.now)
         self.set_state(node_id, MemberState.LEAVING)
         self.tell()
@@ -169,10 +169,10 @@
         for node in self.nodes.values():
             node.update_services(contracts, [], self.now)
 
-    # -- the wire ----------------------------------------------------------------------------
+    # -- the network -------------------------------------------------------------------------
 
     def run(self, seconds: float) -> None:
-        """Let time pass: deliver what is under way, poll every node each tick."""
+        """Advance the clock in ticks; deliver what is due and poll every node in each tick."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.now += TICK
@@ -233,10 +233,10 @@
                 self._enqueue(0.0, node_id, source, command.data)
 
     def _post(self, target: NodeId, sender: NodeId, message: Message) -> None:
-        copies = 2 if self.chance.random() < self.duplication else 1
+        copies = 2 if self.rng.random() < self.duplication else 1
         for _ in range(copies):
-            if self.chance.random() >= self.loss:
-                delay = self.chance.choice((0.01, 0.01, 0.02, 0.2 if self.loss else 0.02))
+            if self.rng.random() >= self.loss:
+                delay = self.rng.choice((0.01, 0.01, 0.02, 0.2 if self.loss else 0.02))
                 self._enqueue(delay, target, sender, message)
 
     def _enqueue(self, delay: float, target: NodeId, sender: object, content: object) -> None:
@@ -246,8 +246,8 @@
     # -- flows -------------------------------------------------------------------------------
 
     def send(self, data: bytes, node_id: NodeId | None = None) -> SocketAddress | None:
-        """Send a client's packet by some node; returns where it (or its relayed copy) came out."""
-        chosen = node_id or self.chance.choice(sorted(self.nodes))
+        """Send a client's packet to a node; returns where it, or its relayed copy, was sent."""
+        chosen = node_id or self.rng.choice(sorted(self.nodes))
         start = len(self.arrived)
         self._receive(self.nodes[chosen], data, GATEWAY, from_peer=False)
         self._deliver_due()
@@ -256,15 +256,15 @@
         return found[-1] if found else None
 
     def answer(self, data: bytes, backend_address: SocketAddress) -> list[SocketAddress]:
-        """Send a backend's packet by some node; returns every address that packets came out at."""
+        """Send a backend's packet to a random node; returns where packets were sent in response."""
         start = len(self.arrived)
-        chosen = self.chance.choice(sorted(self.nodes))
+        chosen = self.rng.choice(sorted(self.nodes))
         self._receive(self.nodes[chosen], data, backend_address, from_peer=False)
         self._deliver_due()
         return [address for address, _ in self.arrived[start:]]
 
     def open(self, client: int, tries: int = 20) -> SocketAddress:
-        """Open a flow, retransmitting the SYN each second, and send some payload."""
+        """Send a SYN each second until one reaches a backend; returns the backend's address."""
         for _ in range(tries):
             address = self.send(tcp(client, SYN))
             if address is not None:
@@ -273,7 +273,7 @@
         raise AssertionError(f"flow {client} could not be opened")
 
     def reach(self, client: int, tries: int = 20) -> SocketAddress | None:
-        """Send payload, retransmitting it, until it reaches a backend."""
+        """Send payload until it reaches a backend; None if it does not within `tries`."""
         for _ in range(tries):
             address = self.send(tcp(client, ACK, b"x"))
             if address is not None:
--- a/tests/unit/routing/test_balanced_requests.py
+++ b/tests/unit/routing/test_balanced_requests.py
@@ -1,6 +1,6 @@
-"""Deadlines and cancellations from a stand-in client through a forwarder to a stand-in backend.
+"""Deadlines and cancellations of requests from a stand-in client to a stand-in backend.
 
-Both ends check sequence numbers of resets as RFC 5961 asks.
+Both ends check the sequence numbers of resets as RFC 5961 requires.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class BalancedNetwork(Network):
-    """One forwarder between the clients and the backend."""
+    """A network with one forwarder between the clients and the backend."""
 
     def __init__(self, model: BackendModel, deadline: float = DEADLINE) -> None:
         super().__init__(model)
@@ -45,7 +45,7 @@
         self.started = self.now
 
     def run_for(self, seconds: float) -> None:
-        """Let time pass until so long after the start."""
+        """Run until `seconds` after the start."""
         self.run(self.started + seconds)
 
     def _tick(self) -> None:
@@ -91,7 +91,7 @@
         for flow in flows:
             network.from_client(network.host.start(flow, network.now))
 
-    def test_late_requests_are_cancelled_at_the_backend_and_told_to_the_client(self) -> None:
+    def test_requests_past_their_deadline_are_reset_at_the_backend_and_the_client(self) -> None:
         network = BalancedNetwork(self.backend)
         running, waiting = request(0), request(1)
         self.start(network, running, waiting)
@@ -104,7 +104,7 @@
         network.run_for(20.0)
         self.assertEqual(network.forwarder.snapshot().flows, 0)
 
-    def test_answers_in_time_are_whole(self) -> None:
+    def test_answers_before_the_deadline_are_complete(self) -> None:
         network = BalancedNetwork(make_backend(service=SERVICE))
         flows = [request(number, size=30_000) for number in range(2)]
         self.start(network, *flows)
@@ -112,7 +112,7 @@
         self.assertEqual([flow.outcome for flow in flows], [Outcome.ANSWERED] * 2)
         self.assertEqual(network.forwarder.counters["flows_past_deadline"], 0)
 
-    def test_a_stream_that_is_pushed_to_at_the_deadline_ends_at_both_sides(self) -> None:
+    def test_a_stream_with_traffic_at_the_deadline_is_reset_at_both_sides(self) -> None:
         network = BalancedNetwork(self.backend)
         flow = StreamFlow(StreamOptions("s", CLIENT, SERVICE), random.Random(1))
         self.start(network, flow)
--- a/tests/unit/routing/test_closed_flows.py
+++ b/tests/unit/routing/test_closed_flows.py
@@ -1,4 +1,4 @@
-"""A flow that both sides closed is open no more and its entry ends soon, whatever still comes."""
+"""A flow closed by both sides is not open, and its entry expires even if packets follow."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
     def open_flows(self) -> int:
         return sum(self.node.snapshot().open_flows.values())
 
-    def open_one(self) -> None:
+    def open_flow(self) -> None:
         self.client_sends(SYN)
         self.client_sends(ACK, b"update")
         self.assertEqual(self.open_flows(), 1)
 
     def test_last_acknowledgement_does_not_keep_the_entry(self) -> None:
-        self.open_one()
+        self.open_flow()
         self.backend_sends(FIN)
         self.client_sends(FIN)
         self.assertEqual(self.open_flows(), 0)
@@ -61,14 +61,14 @@
         self.assertEqual(self.open_flows(), 0)
 
     def test_half_closed_flow_stays_open(self) -> None:
-        self.open_one()
+        self.open_flow()
         self.backend_sends(FIN)
         self.client_sends(ACK)
         self.fleet.run(CLOSED_SECONDS + 1.0)
         self.assertEqual(self.open_flows(), 1)
 
     def test_flow_is_counted_as_ended_once(self) -> None:
-        self.open_one()
+        self.open_flow()
         for _ in range(2):
             self.backend_sends(FIN)
             self.client_sends(FIN)
@@ -80,7 +80,7 @@
         self.assertEqual(self.open_flows(), 1)
 
     def test_closed_flow_that_is_handed_over_is_counted_as_ended_once(self) -> None:
-        self.open_one()
+        self.open_flow()
         self.backend_sends(FIN)
         self.client_sends(FIN)
         self.node.forward(tcp(CLIENT + 1, SYN), GATEWAY, False, self.fleet.now)
--- a/tests/unit/routing/test_deadlines.py
+++ b/tests/unit/routing/test_deadlines.py
@@ -16,7 +16,7 @@
 
 
 class DeadlineWheelMachine(RuleBasedStateMachine):
-    """The oracle is a dictionary of deadlines."""
+    """Compares the timing wheel with a dictionary of deadlines."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/unit/routing/test_flow_table.py
+++ b/tests/unit/routing/test_flow_table.py
@@ -1,4 +1,4 @@
-"""The sweep of the flow table finds every flow that has ended, and no row that is free."""
+"""The sweep of the flow table finds every expired entry and no removed one."""
 
 import random
 import unittest
@@ -7,10 +7,10 @@
 
 
 class SweepTest(unittest.TestCase):
-    def test_one_round_of_calls_finds_exactly_the_flows_that_ended(self) -> None:
-        chance = random.Random(5)
+    def test_one_sweep_finds_exactly_the_expired_entries(self) -> None:
+        rng = random.Random(5)
         table = FlowTable()
-        deadlines = {chance.getrandbits(60): float(chance.randint(0, 20)) for _ in range(5000)}
+        deadlines = {rng.getrandbits(60): float(rng.randint(0, 20)) for _ in range(5000)}
         for key, deadline in deadlines.items():
             table.insert(key, 1, 0, deadline, 0.0)
         for key in list(deadlines)[::7]:
@@ -21,7 +21,7 @@
             found.extend(table.expired(10.0))
         self.assertEqual(sorted(found), sorted(k for k, end in deadlines.items() if end <= 10.0))
 
-    def test_a_reused_row_ends_at_its_new_deadline(self) -> None:
+    def test_a_reused_row_expires_at_its_new_deadline(self) -> None:
         table = FlowTable()
         table.insert(1, 1, 0, 5.0, 0.0)
         table.remove(1)
@@ -30,7 +30,7 @@
         self.assertEqual(table.expired(19.0), [])
         self.assertEqual(table.expired(20.0), [2])
 
-    def test_the_table_grows_between_calls(self) -> None:
+    def test_the_table_may_grow_during_a_sweep(self) -> None:
         table = FlowTable()
         for key in range(3 * SWEEP_ROWS):
             table.insert(key, 1, 0, 1.0, 0.0)
--- a/tests/unit/routing/test_forwarder.py
+++ b/tests/unit/routing/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Single packets: adversarial bytes, ICMP errors, tenancy, hop bounds, explanations."""
+"""Forwarding of single packets: malformed input, ICMP errors, tenants, hop limits, timers."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 class TimerTest(unittest.TestCase):
     @patch("beamloom.routing.forwarder.TICK_SECONDS", 10.0)
-    def test_a_packet_that_makes_the_timer_earlier_says_so_once(self) -> None:
+    def test_a_packet_that_makes_the_timer_earlier_is_reported_once(self) -> None:
         fleet = fleet_of(0, 1)
         fleet.run(10.0)
         client = next(n for n in range(100) if self.is_home(fleet, n))
@@ -70,7 +70,7 @@
         node.forward(tcp(client, ACK), relay, True, fleet.now)
         self.assertFalse(node.has_commands)
 
-    def test_packets_that_set_no_earlier_timer_ask_for_nothing(self) -> None:
+    def test_packets_that_set_no_earlier_timer_leave_no_commands(self) -> None:
         fleet = fleet_of(0, 1)
         client = next(n for n in range(100) if self.is_home(fleet, n))
         fleet.open(client)
@@ -122,7 +122,7 @@
         backwards = icmp_error(request, request[16:20], request[12:16])
         self.assertEqual(fleet.answer(backwards, address), [GATEWAY])
 
-    def test_an_icmp_error_about_no_flow_makes_none(self) -> None:
+    def test_an_icmp_error_about_an_unknown_flow_adds_no_entry(self) -> None:
         fleet = fleet_of(0)
         quoted = answer(6, ACK)
         self.assertIsNone(fleet.send(icmp_error(quoted, b"\x08\x08\x08\x08", quoted[12:16])))
@@ -145,7 +145,7 @@
         node = fleet.nodes[NodeId("n0")]
         self.assertEqual(node.counters[DropReason.FOREIGN_SENDER.value], 1)
 
-    def test_relaying_is_bounded_and_keeps_the_header_checksum_right(self) -> None:
+    def test_relaying_limits_hops_and_updates_the_header_checksum(self) -> None:
         packet = bytearray(tcp(1, SYN))
         total = sum(struct.unpack("!10H", packet[:20]))
         packet[10:12] = (~(total % 0xFFFF) & 0xFFFF).to_bytes(2, "big")
@@ -163,24 +163,28 @@
         fleet.add(0)
         reached = [fleet.open(client) for client in range(40)]
         fleet.configure(service([*BACKENDS, BACKENDS[0][1:]]))
-        gone = reached.count(backend(1).data_address)
-        self.assertEqual((len(ended), gone > 0), (gone, True))
-        self.assertEqual(len(fleet.nodes[NodeId("n0")].table), 40 - gone)
+        removed = reached.count(backend(1).data_address)
+        self.assertEqual((len(ended), removed > 0), (removed, True))
+        self.assertEqual(len(fleet.nodes[NodeId("n0")].table), 40 - removed)
 
-    def test_explanations_name_the_role_of_each_node(self) -> None:
+    def test_explanations_report_the_role_of_each_node(self) -> None:
         fleet = fleet_of(0, 1, 2)
         address = fleet.open(3)
         for node_id in [*fleet.nodes, *fleet.nodes]:
             fleet.send(tcp(3, ACK), node_id)
         fleet.run(0.5)
-        told = [node.explain(flow_tuple(3)) for node in fleet.nodes.values()]
-        self.assertEqual(sorted(item.role.value for item in told), ["cached", "cached", "home"])
-        self.assertEqual({item.backend_id for item in told}, {f"b{address.port - 2000}"})
-        self.assertTrue(all(item.lease_end for item in told if item.role is FlowRole.CACHED))
-
-
-class AnswersTest(unittest.TestCase):
-    def test_a_node_that_relayed_a_flow_once_is_told_nothing(self) -> None:
+        explanations = [node.explain(flow_tuple(3)) for node in fleet.nodes.values()]
+        self.assertEqual(
+            sorted(item.role.value for item in explanations), ["cached", "cached", "home"]
+        )
+        self.assertEqual({item.backend_id for item in explanations}, {f"b{address.port - 2000}"})
+        self.assertTrue(
+            all(item.lease_end for item in explanations if item.role is FlowRole.CACHED)
+        )
+
+
+class CacheAnswersTest(unittest.TestCase):
+    def test_a_node_that_relayed_a_flow_once_gets_no_cache_answer(self) -> None:
         fleet = fleet_of(0, 1, 2)
         fleet.open(3)
         for node_id in fleet.nodes:
@@ -189,7 +193,7 @@
         roles = sorted(node.explain(flow_tuple(3)).role.value for node in fleet.nodes.values())
         self.assertEqual(roles, ["home", "none", "none"])
 
-    def test_what_is_remembered_of_relays_is_bounded_and_forgotten(self) -> None:
+    def test_records_of_relayed_flows_are_bounded_and_expire(self) -> None:
         relayed, relay = RelayedFlows(), NodeId("n1")
         self.assertFalse(relayed.record(1, relay, 0.0))
         self.assertTrue(relayed.record(1, relay, ROTATION_SECONDS - 1))
--- a/tests/unit/routing/test_late_flows.py
+++ b/tests/unit/routing/test_late_flows.py
@@ -1,4 +1,4 @@
-"""`request.deadline`: late flows are ended at both sides, and nothing else is."""
+"""`request.deadline`: flows past it are reset at both sides, and no others."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     return sum(node.counters[counter] for node in fleet.nodes.values())
 
 
-class LateFlowTest(unittest.TestCase):
+class FlowDeadlineTest(unittest.TestCase):
     def open(self, fleet: Fleet, client: int) -> SocketAddress:
         address = fleet.open(client)
         for node_id in list(fleet.nodes):
@@ -66,7 +66,8 @@
         reached = self.open(fleet, 1)
         for number, node_id in enumerate(fleet.nodes):
             fleet.send(tcp(1, ACK, b"abc", sequence=10 + 3 * number), node_id)
-        fleet.send(tcp(1, ACK, b"abc", sequence=10))  # An old packet, late.
+        # A reordered packet with an older sequence number must not replace the newest one.
+        fleet.send(tcp(1, ACK, b"abc", sequence=10))
         self.assertEqual(total(fleet, "flows_past_deadline"), 0)
         start = len(fleet.arrived)
         fleet.run(5.0)
@@ -80,7 +81,7 @@
         self.assertEqual([node.snapshot().flows for node in fleet.nodes.values()], [0, 0, 0])
         self.assertEqual(sum(node.snapshot().deadlines for node in fleet.nodes.values()), 0)
 
-    def test_late_packets_are_answered_by_resets_and_reach_no_backend(self) -> None:
+    def test_packets_after_the_deadline_are_answered_by_resets_and_reach_no_backend(self) -> None:
         fleet = fleet_of(0, 1, 2)
         reached = self.open(fleet, 1)
         fleet.run(6.0)
@@ -93,7 +94,7 @@
         self.assertEqual(total(fleet, DropReason.DEADLINE_PASSED.value), 3)
         self.assertEqual(fleet.send(tcp(1, RST, sequence=50)), reached)
 
-    def test_a_new_flow_of_the_same_ports_begins_a_new_deadline(self) -> None:
+    def test_a_new_flow_on_the_same_ports_has_a_new_deadline(self) -> None:
         fleet = fleet_of(0, 1, 2)
         self.open(fleet, 1)
         fleet.run(6.0)
@@ -103,7 +104,7 @@
         fleet.run(3.0)
         self.assertEqual(total(fleet, "flows_past_deadline"), 2)
 
-    def test_a_client_that_still_waits_for_its_connection_is_told_that_nothing_ran(self) -> None:
+    def test_a_client_without_a_connection_at_the_deadline_gets_a_refusal(self) -> None:
         fleet = fleet_of(0, 1)
         reached = fleet.open(1)
         start = len(fleet.arrived)
@@ -112,7 +113,7 @@
         self.assertEqual(set(resets), {GATEWAY, reached})
         self.assertEqual((resets[GATEWAY].ack, resets[reached].seq), (2, 2))
 
-    def test_a_flow_that_ended_in_time_is_left_alone(self) -> None:
+    def test_a_flow_closed_before_its_deadline_is_not_reset(self) -> None:
         fleet = fleet_of(0, 1, 2)
         for client, flags in ((1, FIN | ACK), (2, RST)):
             reached = self.open(fleet, client)
@@ -123,7 +124,7 @@
         self.assertEqual(fleet.arrived[start:], [])
         self.assertEqual(total(fleet, "flows_past_deadline"), 0)
 
-    def test_a_deadline_raised_or_taken_away_holds_for_open_flows(self) -> None:
+    def test_a_raised_or_removed_deadline_applies_to_open_flows(self) -> None:
         for raised, ended in ((0.0, 0), (8.0, 1)):
             with self.subTest(raised=raised):
                 fleet = fleet_of(0, 1, 2)
@@ -151,7 +152,7 @@
                 late = [client for client in reached if fleet.send(tcp(client, ACK, b"x"))]
                 self.assertEqual(late, [])
 
-    def test_udp_flows_are_not_cut(self) -> None:
+    def test_udp_flows_have_no_deadline(self) -> None:
         fleet = fleet_of(0, 1, protocol=TransportProtocol.UDP)
         reached = fleet.send(udp(1))
         start = len(fleet.arrived)
--- a/tests/unit/routing/test_openings.py
+++ b/tests/unit/routing/test_openings.py
@@ -1,4 +1,4 @@
-"""Opening packets are kept within bounds; taking one frees its room."""
+"""The buffer of opening packets keeps to its limits of packets and bytes."""
 
 import unittest
 
@@ -9,8 +9,8 @@
 )
 
 
-class KeptOpeningsTest(unittest.TestCase):
-    def test_the_oldest_give_way_to_a_bound_in_bytes(self) -> None:
+class OpeningPacketBufferTest(unittest.TestCase):
+    def test_the_oldest_are_dropped_at_the_limit_of_bytes(self) -> None:
         openings = OpeningPacketBuffer()
         half = bytes(MAXIMUM_OPENING_BYTES // 2)
         for key in (1, 2, 3):
@@ -21,14 +21,14 @@
         self.assertEqual((openings.take(3), openings.take(4)), (half, half))
         self.assertIsNone(openings.take(4))
 
-    def test_a_packet_kept_anew_counts_once(self) -> None:
+    def test_a_replaced_packet_counts_once(self) -> None:
         openings = OpeningPacketBuffer()
         openings.keep(1, bytes(MAXIMUM_OPENING_BYTES // 2))
         for _ in range(3):
             openings.keep(2, bytes(MAXIMUM_OPENING_BYTES // 2))
         self.assertIsNotNone(openings.take(1))
 
-    def test_the_oldest_give_way_to_a_bound_in_number(self) -> None:
+    def test_the_oldest_are_dropped_at_the_limit_of_packets(self) -> None:
         openings = OpeningPacketBuffer()
         for key in range(MAXIMUM_OPENING_PACKETS + 2):
             openings.keep(key, b"x")
--- a/tests/unit/routing/test_requests.py
+++ b/tests/unit/routing/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests: bound before they leave, refused only when they cannot have run."""
+"""Non-repeatable requests are bound before they are sent; refused flows have not been executed."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class Health(AssumedHealth):
-    """Some backends are offline."""
+    """Reports the given backends as offline."""
 
     def __init__(self, *offline: int) -> None:
         self.offline = set(offline)
@@ -53,7 +53,7 @@
 
 
 class ClosedGate(PermissiveAdmission):
-    """Admits nothing and grants no retry."""
+    """Admits no flow and allows no retry."""
 
     def admit_flow(self, service: ServiceContract, now: float) -> FlowVerdict:
         return FlowVerdict(admitted=False)
@@ -82,7 +82,7 @@
 
 
 class BindingTest(unittest.TestCase):
-    def test_no_packet_leaves_before_a_replica_holder_has_noted_the_flow(self) -> None:
+    def test_no_packet_is_sent_before_a_replica_holder_acknowledges_the_binding(self) -> None:
         fleet = fleet_of(0, 1, 2, contract=service(BACKENDS, TransportProtocol.UDP, NEVER))
         fleet.loss = 1.0
         self.assertIsNone(fleet.send(udp(1)))
@@ -94,7 +94,7 @@
         held = sum(node.snapshot().replicas_held for node in fleet.nodes.values())
         self.assertEqual(held, 1)
 
-    def test_the_second_holder_serves_when_the_first_is_silent(self) -> None:
+    def test_the_second_holder_is_used_when_the_first_does_not_answer(self) -> None:
         fleet = fleet_of(0, 1, 2, contract=service(BACKENDS, TransportProtocol.UDP, NEVER))
         home = home_of(fleet, udp(1))
         fleet.send(udp(1), home)
@@ -107,12 +107,12 @@
         fleet.run(1.5)
         self.assertEqual(len(fleet.arrived), 1)
 
-    def test_a_lone_node_goes_on_alone(self) -> None:
+    def test_a_lone_node_forwards_without_a_binding(self) -> None:
         fleet = fleet_of(0, contract=service(BACKENDS, TransportProtocol.UDP, NEVER))
         fleet.run(ALONE_SECONDS)
         self.assertIsNotNone(fleet.send(udp(1)))
 
-    def test_a_bound_request_stays_bound_after_its_home_crashed(self) -> None:
+    def test_a_bound_request_keeps_its_backend_after_its_home_crashed(self) -> None:
         fleet = fleet_of(0, 1, 2, contract=service(BACKENDS, TransportProtocol.UDP, NEVER))
         clients = range(60)
         for client in clients:
@@ -134,7 +134,7 @@
             for address, packet in fleet.arrived:
                 self.assertEqual(address, placed[packet[12:16]], client)
 
-    def test_an_unknown_request_is_dropped_where_no_holder_can_have_told(self) -> None:
+    def test_an_unknown_request_is_dropped_while_its_binding_may_be_lost(self) -> None:
         fleet = fleet_of(0, 1, contract=service(BACKENDS, TransportProtocol.UDP, NEVER))
         data = next(udp(n) for n in range(100) if home_of(fleet, udp(n)) == "n1")
         survivor = fleet.nodes[NodeId("n0")]
@@ -148,7 +148,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    def test_a_reset_opening_is_offered_to_another_backend_once(self) -> None:
+    def test_a_flow_reset_on_opening_is_retried_on_another_backend_once(self) -> None:
         fleet = fleet_of(0, 1, 2, contract=service(BACKENDS))
         first = fleet.open(1)
         out = fleet.answer(answer(1, RST | ACK), first)
@@ -157,7 +157,7 @@
         self.assertNotEqual(second, [first])
         self.assertEqual(fleet.answer(answer(1, RST | ACK), second[0]), [GATEWAY])
 
-    def test_a_reset_after_payload_passes_and_nothing_is_sent_again(self) -> None:
+    def test_a_reset_after_payload_is_forwarded_without_a_retry(self) -> None:
         fleet = fleet_of(0, 1, 2, contract=service(BACKENDS))
         first = fleet.open(1)
         fleet.reach(1)
@@ -172,7 +172,7 @@
         self.assertEqual(fleet.send(tcp(1, ACK, b"x"), other), first)
         self.assertEqual(fleet.answer(answer(1, RST), first), [GATEWAY])
 
-    def test_without_retry_budget_the_reset_passes(self) -> None:
+    def test_without_retry_budget_the_reset_is_forwarded(self) -> None:
         gate = ClosedGate()
         hooks = RoutingHooks(gate, SilentRefusal(), AssumedHealth())
         gate.admit_flow = PermissiveAdmission().admit_flow  # type: ignore[method-assign]
--- a/tests/unit/routing/test_streams.py
+++ b/tests/unit/routing/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams are bounded, ordered and coalesced; partition sets survive the wire."""
+"""Streams are bounded, ordered and coalesced; partition sets are packed without loss."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 class PartitionSetTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(st.sets(st.integers(0, PARTITION_COUNT - 1), min_size=1, max_size=3000))
-    def test_sets_survive_and_stay_short(self, partitions: set[int]) -> None:
+    def test_sets_are_packed_without_loss_and_within_the_limit(self, partitions: set[int]) -> None:
         packed = [pack_partitions(part) for part in split_partitions(partitions)]
         self.assertLessEqual(max(map(len, packed)), MAXIMUM_PACKED_BYTES)
         read = [item for part in packed for item in unpack_partitions(part, PARTITION_COUNT)]
@@ -51,7 +51,7 @@
 
     @settings(derandomize=True, max_examples=200, deadline=None)
     @given(st.binary(max_size=600))
-    def test_arbitrary_bytes_are_read_or_refused(self, packed: bytes) -> None:
+    def test_arbitrary_bytes_are_unpacked_or_rejected(self, packed: bytes) -> None:
         try:
             partitions = unpack_partitions(packed, PARTITION_COUNT)
         except MalformedDatagramError:
