--- a/src/beamloom/routing/deciding.py
+++ b/src/beamloom/routing/deciding.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FlowPacket:
+class ClientFlowPacket:
     """A client's packet with its flow key and service; `relay` is the node that relayed it."""
 
     key: int
@@ -83,10 +83,10 @@
 
     @property
     def bindings_waiting(self) -> int:
-        """Return how many flows wait for a replica holder to acknowledge their binding."""
+        """The number of flows that wait for a replica holder to acknowledge their binding."""
         return len(self._bindings)
 
-    def predecessor_to_ask(self, packet: FlowPacket, now: float) -> NodeId | None:
+    def predecessor_to_ask(self, packet: ClientFlowPacket, now: float) -> NodeId | None:
         """Return the partition's former owner if it may already have placed this new flow."""
         owned = self._home.ownership.owned[partition_of(packet.key)]
         former = owned.predecessor
@@ -98,7 +98,7 @@
 
     # -- packets of clients ----------------------------------------------------------------------
 
-    def decide(self, packet: FlowPacket, now: float) -> Decision:
+    def decide(self, packet: ClientFlowPacket, now: float) -> Decision:
         """Return the outcome for one packet of a client and update its flow's entry."""
         key, view = packet.key, packet.view
         row = self._home.known_row(key, packet.service, now)
@@ -123,7 +123,7 @@
     def _is_closing(self, row: int) -> bool:
         return bool(self._table.flags[row] & BOTH_CLOSED)
 
-    def _place(self, packet: FlowPacket, now: float) -> Decision:
+    def _place(self, packet: ClientFlowPacket, now: float) -> Decision:
         if packet.view.flow.protocol == PROTOCOL_TCP:
             if packet.view.opens_flow:
                 return self._place_new(packet, now)
@@ -137,11 +137,11 @@
         self._hooks.admission.flow_taken_over(packet.service.contract)
         return self._enter(packet, Choice(base, PlacementReason.BASE_GENERATION), now)
 
-    def _current_base_backend(self, packet: FlowPacket) -> int | None:
+    def _current_base_backend(self, packet: ClientFlowPacket) -> int | None:
         number = self._home.base_backend(packet.service, packet.key)
         return number if self._routes.has_backend(number) else None
 
-    def _place_at_base(self, packet: FlowPacket, now: float) -> Decision:
+    def _place_at_base(self, packet: ClientFlowPacket, now: float) -> Decision:
         """Add an entry for an unknown TCP flow that is already open, at its base backend.
 
         After the crash of the former home this backend may be wrong. It then has no such
@@ -161,7 +161,7 @@
         self._record_client_packet(packet, row, now)
         return Decision(number)
 
-    def _binding_may_be_lost(self, packet: FlowPacket, now: float) -> bool:
+    def _binding_may_be_lost(self, packet: ClientFlowPacket, now: float) -> bool:
         policy = packet.service.contract.policy
         if not packet.service.binds_first:
             return False
@@ -172,7 +172,7 @@
             return False
         return not self._transfers.bindings_known(partition)
 
-    def _place_new(self, packet: FlowPacket, now: float) -> Decision:
+    def _place_new(self, packet: ClientFlowPacket, now: float) -> Decision:
         contract = packet.service.contract
         verdict = self._hooks.admission.admit_flow(contract, now)
         if not verdict.admitted:
@@ -186,7 +186,7 @@
         self._counters["flows_placed"] += 1
         return self._enter(packet, choice, now)
 
-    def _enter(self, packet: FlowPacket, choice: Choice, now: float) -> Decision:
+    def _enter(self, packet: ClientFlowPacket, choice: Choice, now: float) -> Decision:
         """Add an entry for an admitted flow; forward its packet, or hold it until it is bound."""
         key, service, view = packet.key, packet.service, packet.view
         commands = self._bind(key, choice.backend_number, service, now)
@@ -233,7 +233,7 @@
         self._table.flags[row] |= FlowFlag.REPLICATED
         return [SendPacket(LocalSocket.DATA, route.address, packet) for packet in released.packets]
 
-    def _record_client_packet(self, packet: FlowPacket, row: int, now: float) -> None:
+    def _record_client_packet(self, packet: ClientFlowPacket, row: int, now: float) -> None:
         table, view = self._table, packet.view
         if view.payload_size:
             if not table.flags[row] & (FlowFlag.PAYLOAD_SENT | FlowFlag.HELD):
--- a/src/beamloom/routing/flow_deadlines.py
+++ b/src/beamloom/routing/flow_deadlines.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class FlowDeadline:
-    """A flow's start time and the newest TCP packet of its client.
+    """When a home added a flow's entry, and the newest TCP packet of the flow's client.
 
     Only the headers of that packet are kept; `sequence_end` is the sequence number that follows it.
     """
--- a/src/beamloom/routing/forwarder.py
+++ b/src/beamloom/routing/forwarder.py
@@ -25,7 +25,7 @@
 )
 from beamloom.protocol.messages import Message
 from beamloom.routing.answers import CacheAnswerBatches, RelayedFlows
-from beamloom.routing.deciding import FlowPacket, HomePacketHandler
+from beamloom.routing.deciding import ClientFlowPacket, HomePacketHandler
 from beamloom.routing.explanation import FlowExplainer, FlowExplanation, RoutingSnapshot
 from beamloom.routing.fast_path import FastPath
 from beamloom.routing.flow_table import FlowFlag, FlowTable
@@ -118,9 +118,9 @@
 
         `removed` holds service numbers.
         """
-        lost_backends = self.routes.numbers_lost(changed, removed)
-        if lost_backends:
-            for key in self.table.keys_with_backends(lost_backends):
+        removed_backends = self.routes.numbers_lost(changed, removed)
+        if removed_backends:
+            for key in self.table.keys_with_backends(removed_backends):
                 self.home.forget(key)
         self.routes.update(changed)
         for service_number in removed:
@@ -186,13 +186,13 @@
         if service is not None:
             if relay is None:
                 _count_packet(service)
-            return self._forward_request(data, view, service, relay, now)
+            return self._forward_client_packet(data, view, service, relay, now)
         service = self.routes.by_destination.get(view.flow.source_key)
         if service is None:
             raise PacketError(DropReason.UNKNOWN_SERVICE)
         if relay is None and source not in service.senders:
             raise PacketError(DropReason.FOREIGN_SENDER)
-        return self._forward_answer(data, view, service, relay, now)
+        return self._forward_backend_packet(data, view, service, relay, now)
 
     def _relaying_node(self, source: SocketAddress) -> NodeId:
         relay = self._peers.get(source)
@@ -203,14 +203,14 @@
     def _key(self, flow: FlowTuple) -> int:
         return flow_key(flow.hash_input, self._seeds[flow.protocol])
 
-    def _forward_request(
+    def _forward_client_packet(
         self, data: bytes, view: PacketView, service: ServiceRoute, relay: NodeId | None, now: float
     ) -> SocketAddress | None:
         key = self._key(view.flow)
         partition = partition_of(key)
         decider = self.ownership.deciders[partition]
         if decider == self.node_id:
-            return self._forward_as_home(FlowPacket(key, data, view, service, relay), now)
+            return self._forward_as_home(ClientFlowPacket(key, data, view, service, relay), now)
         address = self._cached_address(key, view, service, relay, now)
         if address is not None:
             return address
@@ -268,7 +268,7 @@
         self.counters["relayed"] += 1
         self._commands.append(SendPacket(LocalSocket.PEER, member.machine.peer_address, packet))
 
-    def _forward_as_home(self, packet: FlowPacket, now: float) -> SocketAddress | None:
+    def _forward_as_home(self, packet: ClientFlowPacket, now: float) -> SocketAddress | None:
         predecessor = self._handler.predecessor_to_ask(packet, now)
         if predecessor is not None:
             self._relay(packet.data, predecessor, RELAY_HOP_LIMIT)
@@ -288,7 +288,9 @@
                 self._timer_is_earlier = self._next_due() < self._reported_timer
         return self.routes.backends[number].address
 
-    def _should_send_cache_answer(self, packet: FlowPacket, relay: NodeId, now: float) -> bool:
+    def _should_send_cache_answer(
+        self, packet: ClientFlowPacket, relay: NodeId, now: float
+    ) -> bool:
         """Whether the relaying node may cache the flow's backend and has relayed it before."""
         if packet.view.opens_flow or packet.view.closes_flow or packet.service.deadline:
             return False
@@ -299,7 +301,7 @@
 
     # -- packets of backends -------------------------------------------------------------------
 
-    def _forward_answer(
+    def _forward_backend_packet(
         self,
         data: bytes,
         view: PacketView,
--- a/src/beamloom/routing/late_flows.py
+++ b/src/beamloom/routing/late_flows.py
@@ -46,12 +46,12 @@
         if row is None or route is None:
             return []
         allowed = route.service.deadline
-        until = flow.began + allowed
-        if allowed and until <= now + TICK_SECONDS:
+        deadline = flow.began + allowed
+        if allowed and deadline <= now + TICK_SECONDS:
             self._home.close(row, BOTH_CLOSED, now)
             self._counters["flows_past_deadline"] += 1
             return self.resets(key, row, flow.newest_packet)
-        if not allowed or not self._home.deadlines.set(key, flow, until):
+        if not allowed or not self._home.deadlines.set(key, flow, deadline):
             self._home.table.flags[row] &= ~FlowFlag.DEADLINE & 0xFF
         return []
 
--- a/src/beamloom/routing/streams.py
+++ b/src/beamloom/routing/streams.py
@@ -157,12 +157,12 @@
         return message
 
 
-def _resend(peer: NodeId, flight: InFlightBatch, now: float) -> Iterable[Command]:
-    if flight.resend_at > now:
+def _resend(peer: NodeId, batch: InFlightBatch, now: float) -> Iterable[Command]:
+    if batch.resend_at > now:
         return ()
-    flight.resend_interval = min(2 * flight.resend_interval, LAST_RESEND_SECONDS)
-    flight.resend_at = now + flight.resend_interval
-    return (SendMessage(peer, flight.message),)
+    batch.resend_interval = min(2 * batch.resend_interval, LAST_RESEND_SECONDS)
+    batch.resend_at = now + batch.resend_interval
+    return (SendMessage(peer, batch.message),)
 
 
 def _take_group(notes: dict[int, PartitionNote]) -> dict[int, PartitionNote]:
