--- a/src/beamloom/routing/deciding.py
+++ b/src/beamloom/routing/deciding.py
@@ -79,7 +79,7 @@
         self._bindings = Bindings()
         self._opening_packets = OpeningPacketBuffer()
         self.answer_times = AnswerTimes(home.hooks.health)
-        self._deadline_enforcer = DeadlineEnforcer(home, gateway, counters)
+        self._deadlines = DeadlineEnforcer(home, gateway, counters)
 
     @property
     def bindings_waiting(self) -> int:
@@ -114,8 +114,8 @@
             return Decision(drop=None if held else DropReason.UNKNOWN_BINDING)
         if view.is_error:
             return Decision(self._table.backend[row])
-        if self._deadline_enforcer.ended_at_deadline(row) and not view.tcp_flags & TCP_RST:
-            resets = tuple(self._deadline_enforcer.resets(key, row, packet.data))
+        if self._deadlines.has_ended(row) and not view.tcp_flags & TCP_RST:
+            resets = tuple(self._deadlines.resets(key, row, packet.data))
             return Decision(commands=resets, drop=DropReason.DEADLINE_PASSED)
         self._record_client_packet(packet, row, now)
         return Decision(self._table.backend[row])
@@ -244,9 +244,9 @@
         if not self._home.is_over(row):
             table.deadline[row] = now + packet.service.idle_timeout
         if table.flags[row] & FlowFlag.DEADLINE:
-            ending = self._home.deadlines.get(packet.key)
-            if ending is not None:
-                ending.record_packet(packet.data, view)
+            flow_deadline = self._home.deadlines.get(packet.key)
+            if flow_deadline is not None:
+                flow_deadline.record_packet(packet.data, view)
         if view.closes_flow:
             self._record_close(packet.key, row, view, FlowFlag.CLIENT_CLOSED, now)
 
@@ -296,9 +296,7 @@
     ) -> Decision | None:
         """Move a flow to another backend, at most once, if its client has sent only `opening`."""
         flags = self._table.flags[row]
-        if flags & (
-            FlowFlag.PAYLOAD_SENT | FlowFlag.HELD
-        ) or self._deadline_enforcer.ended_at_deadline(row):
+        if flags & (FlowFlag.PAYLOAD_SENT | FlowFlag.HELD) or self._deadlines.has_ended(row):
             return None
         choice = self._home.choose(key, service, now, excluded=self._table.backend[row])
         if not opening or choice.backend_number == NO_CANDIDATE:
@@ -306,18 +304,18 @@
         if not self._hooks.admission.take_retry(service.contract, now):
             return None
         number = choice.backend_number
-        bind = self._bind(key, number, service, now)
-        if bind is None:
+        bind_commands = self._bind(key, number, service, now)
+        if bind_commands is None:
             return None
         self._hooks.admission.flow_taken_over(service.contract)
-        flags = FlowFlag.HELD if bind else FlowFlag(0)
+        flags = FlowFlag.HELD if bind_commands else FlowFlag(0)
         retried = Choice(number, PlacementReason.RETRIED_AFTER_REFUSAL)
         self._home.enter(key, retried, service, flags, now)
         self._opening_packets.keep(key, b"")
         self._counters["flows_offered_again"] += 1
-        if bind:
+        if bind_commands:
             self._bindings.hold(key, opening)
-            return Decision(commands=tuple(bind), suppress_answer=True)
+            return Decision(commands=tuple(bind_commands), suppress_answer=True)
         address = self._routes.backends[number].address
         resent = SendPacket(LocalSocket.DATA, address, opening)
         return Decision(commands=(resent,), suppress_answer=True)
@@ -328,4 +326,4 @@
         for flow in released:
             self._counters["bound_alone"] += 1
             commands.extend(self._release(flow))
-        return commands + self._deadline_enforcer.poll(now)
+        return commands + self._deadlines.poll(now)
--- a/src/beamloom/routing/forwarder.py
+++ b/src/beamloom/routing/forwarder.py
@@ -94,7 +94,7 @@
             self.home, self._sender, self._transfers, self.counters, self._gateway
         )
         self._handover_buffer = HandoverBuffer()
-        self._explainer = FlowExplainer(self.home, self.replicas)
+        self._flow_explainer = FlowExplainer(self.home, self.replicas)
         self._cache_answers = CacheAnswerBatches()
         self._relayed_flows = RelayedFlows()
         self._gateways = tuple(gateways)
@@ -383,7 +383,7 @@
 
     def explain(self, flow: FlowTuple) -> FlowExplanation:
         """Return this node's state of a flow; `flow` is in the client-to-backend direction."""
-        return self._explainer.explain(self._key(flow), flow)
+        return self._flow_explainer.explain(self._key(flow), flow)
 
     def snapshot(self) -> RoutingSnapshot:
         """Return counts of this forwarder's state."""
--- a/src/beamloom/routing/late_flows.py
+++ b/src/beamloom/routing/late_flows.py
@@ -28,7 +28,7 @@
         self._gateway = gateway
         self._counters = counters
 
-    def ended_at_deadline(self, row: int) -> bool:
+    def has_ended(self, row: int) -> bool:
         """Whether a flow was ended at its deadline."""
         return self._home.table.flags[row] & ENDED_AT_DEADLINE == ENDED_AT_DEADLINE
 
