--- a/src/beamloom/routing/flow_deadlines.py
+++ b/src/beamloom/routing/flow_deadlines.py
@@ -1,6 +1,6 @@
-"""Which flows of a home end when, and the newest packet of each one's client.
+"""Deadlines of the flows at their home, with each client's newest TCP packet.
 
-See docs/design/requests.md.
+Resets are built from that packet when the deadline passes. See docs/design/requests.md.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 @dataclass(slots=True)
 class FlowDeadline:
-    """One flow: when it began, and its client's newest TCP packet.
+    """When a home added a flow's entry, and the newest TCP packet of the flow's client.
 
-    Only the headers of that packet are kept; `sequence_end` is the number after its last byte.
+    Only the headers of that packet are kept; `sequence_end` is the sequence number that follows it.
     """
 
     began: float
@@ -31,14 +31,14 @@
 
     @property
     def newest_packet(self) -> bytes:
-        """The newest packet, with zeros for its payload; empty when none was seen."""
+        """The newest packet, with its payload zeroed; empty if there was none."""
         return self.headers + bytes(self.payload_size)
 
-    def note_packet(self, data: bytes, view: PacketView) -> None:
-        """Keep a packet of the client unless a newer one came before it (RFC 9293, 3.4)."""
+    def record_packet(self, data: bytes, view: PacketView) -> None:
+        """Keep a packet of the client unless its sequence number is older (RFC 9293, 3.4)."""
         end = _sequence_end(data, view)
-        known = self.sequence_end
-        if known is not None and (end - known) % SEQUENCE_MODULUS >= HALF_SEQUENCE_SPACE:
+        newest_end = self.sequence_end
+        if newest_end is not None and (end - newest_end) % SEQUENCE_MODULUS >= HALF_SEQUENCE_SPACE:
             return
         self.headers = data[: len(data) - view.payload_size]
         self.payload_size = view.payload_size
@@ -46,37 +46,37 @@
 
 
 class FlowDeadlines:
-    """Deadlines of the flows that this node is home of, at most `capacity`.
+    """Deadlines of at most `capacity` flows that this node is the home of.
 
-    A flow beyond that has no deadline, which `not_kept` counts.
+    Further flows get no deadline; `rejected` counts them.
     """
 
     def __init__(self, capacity: int = MAXIMUM_FLOWS) -> None:
         self._wheel = DeadlineWheel(capacity)
         self._flows: dict[int, FlowDeadline] = {}
-        self.not_kept = 0
+        self.rejected = 0
 
     def __len__(self) -> int:
-        """Return the number of flows with a deadline."""
+        """Return the number of flows that have a deadline."""
         return len(self._flows)
 
     def get(self, key: int) -> FlowDeadline | None:
-        """Return what is known of a flow with a deadline."""
+        """Return a flow's record, or None if the flow has no deadline."""
         return self._flows.get(key)
 
     def set(self, key: int, flow: FlowDeadline, at: float) -> bool:
-        """Set a flow's deadline; returns whether there was room."""
+        """Set a flow's deadline; returns False if the capacity is reached."""
         try:
             self._wheel.schedule(key, at)
         except DeadlineCapacityError:
             self._flows.pop(key, None)
-            self.not_kept += 1
+            self.rejected += 1
             return False
         self._flows[key] = flow
         return True
 
     def take(self, key: int) -> FlowDeadline | None:
-        """Drop a flow's deadline; returns what was known of it."""
+        """Remove a flow's deadline and return its record, if it had one."""
         flow = self._flows.pop(key, None)
         if flow is not None:
             self._wheel.cancel(key)
@@ -91,5 +91,5 @@
     header = IPV6_HEADER_SIZE if data[0] >> 4 == 6 else IPV4_HEADER_SIZE
     start = header + SEQUENCE_OFFSET
     sequence = int.from_bytes(data[start : start + SEQUENCE_SIZE], "big")
-    counted = bool(view.tcp_flags & TCP_SYN) + bool(view.tcp_flags & TCP_FIN)
-    return (sequence + view.payload_size + counted) % SEQUENCE_MODULUS
+    control_flags = bool(view.tcp_flags & TCP_SYN) + bool(view.tcp_flags & TCP_FIN)
+    return (sequence + view.payload_size + control_flags) % SEQUENCE_MODULUS
--- a/src/beamloom/routing/late_flows.py
+++ b/src/beamloom/routing/late_flows.py
@@ -1,4 +1,4 @@
-"""Ends flows whose `request.deadline` has passed: a reset to each side, and packets no further."""
+"""Ends TCP flows at their `request.deadline` by a reset to each side."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
 from beamloom.routing.flow_table import FlowFlag
 from beamloom.routing.home import BOTH_CLOSED, Home
 
-ENDED_LATE = BOTH_CLOSED | FlowFlag.DEADLINE
+ENDED_AT_DEADLINE = BOTH_CLOSED | FlowFlag.DEADLINE
 
 
-class LateFlows:
-    """The flows of one home that are past their deadline; `gateway` tells where a client is."""
+class DeadlineEnforcer:
+    """Ends the flows of one home at their deadline.
+
+    `gateway` returns the address that packets for a flow's client are sent to, by flow key.
+    """
 
     def __init__(
         self, home: Home, gateway: Callable[[int], SocketAddress], counters: Counter[str]
@@ -25,43 +28,45 @@
         self._gateway = gateway
         self._counters = counters
 
-    def is_late(self, row: int) -> bool:
+    def has_ended(self, row: int) -> bool:
         """Whether a flow was ended at its deadline."""
-        return self._home.table.flags[row] & ENDED_LATE == ENDED_LATE
+        return self._home.table.flags[row] & ENDED_AT_DEADLINE == ENDED_AT_DEADLINE
 
     def poll(self, now: float) -> list[Command]:
-        """End the flows whose deadline has passed; returns the resets."""
+        """End the flows whose deadline has passed and return the resets to send."""
         commands: list[Command] = []
         for key, flow in self._home.deadlines.due(now):
             commands.extend(self._deadline_reached(key, flow, now))
         return commands
 
     def _deadline_reached(self, key: int, flow: FlowDeadline, now: float) -> list[Command]:
-        """End a flow, unless its service's deadline was raised or taken away since."""
+        """End a flow, unless its service's deadline was raised or removed since it was set."""
         row = self._home.table.rows.get(key)
         route = None if row is None else self._home.routes.backends.get(self._home.backend_of(row))
         if row is None or route is None:
             return []
         allowed = route.service.deadline
-        until = flow.began + allowed
-        if allowed and until <= now + TICK_SECONDS:
+        deadline = flow.began + allowed
+        if allowed and deadline <= now + TICK_SECONDS:
             self._home.close(row, BOTH_CLOSED, now)
             self._counters["flows_past_deadline"] += 1
             return self.resets(key, row, flow.newest_packet)
-        if not allowed or not self._home.deadlines.set(key, flow, until):
+        if not allowed or not self._home.deadlines.set(key, flow, deadline):
             self._home.table.flags[row] &= ~FlowFlag.DEADLINE & 0xFF
         return []
 
     def resets(self, key: int, row: int, packet: bytes) -> list[Command]:
-        """Return resets for both sides made from a client's packet, as far as it allows."""
+        """Return resets for both sides, as far as they can be built from a client's packet."""
         if not packet:
             return []
         may_have_run = bool(self._home.table.flags[row] & FlowFlag.PAYLOAD_SENT)
-        made = self._home.hooks.refusals.cancel(packet, may_have_run)
+        cancellation = self._home.hooks.refusals.cancel(packet, may_have_run)
         route = self._home.routes.backends.get(self._home.backend_of(row))
         commands: list[Command] = []
-        if made.to_client is not None:
-            commands.append(SendPacket(LocalSocket.DATA, self._gateway(key), made.to_client))
-        if made.to_backend is not None and route is not None:
-            commands.append(SendPacket(LocalSocket.DATA, route.address, made.to_backend))
+        if cancellation.to_client is not None:
+            commands.append(
+                SendPacket(LocalSocket.DATA, self._gateway(key), cancellation.to_client)
+            )
+        if cancellation.to_backend is not None and route is not None:
+            commands.append(SendPacket(LocalSocket.DATA, route.address, cancellation.to_backend))
         return commands
