--- a/src/beamloom/routing/tokens/placement.py
+++ b/src/beamloom/routing/tokens/placement.py
@@ -1,8 +1,8 @@
-"""Which backend a new flow gets, from what this node sees alone.
+"""Chooses the backend of a new flow from this node's own observations.
 
-The cost of a backend is its load relative to what it can do, plus a surcharge in another zone.
-Backends that did not answer lately come after those that did, and a backend that has just gone from
-the store without a word comes last: the store at times forgets backends that serve on.
+The cost of a backend is its load relative to its capacity, plus a surcharge in another zone.
+Suspect backends are used only if no others are left. A backend that has just been removed from the
+store without draining is the last resort: the store sometimes loses entries of backends that serve.
 """
 
 from __future__ import annotations
@@ -18,37 +18,35 @@
 from beamloom.routing.tokens.records import DEFAULT_TERMS, BackendState, RouteTerms
 from beamloom.settings.mechanisms import ALL_MECHANISMS, Mechanisms
 
-LONGEST_GONE_GRACE_SECONDS = 2.0
-HEARING_SECONDS = 1.0
-"""How long news of a backend may take to a node, with some room."""
-
-
-LEAST_UNDOUBTED_SHARE = 0.5
-"""Where more of a service is doubted, load is the reason, and the few others must not bear all."""
-
-
+MAX_GONE_GRACE_SECONDS = 2.0
+PROPAGATION_SECONDS = 1.0
+"""Upper estimate of the time until a change of a backend reaches a node."""
+MIN_UNDOUBTED_FRACTION = 0.5
+"""If fewer of the candidates are not doubted, the doubt is ignored: its cause is then probably
+load, and the few other backends could not take all flows.
+"""
 HIGHEST_PRIORITY = 0
-"""Of a route; higher numbers are less urgent (the platform's protocol)."""
+"""Priority of the most urgent routes; higher numbers are less urgent (the platform's protocol)."""
 RESERVED_SLOTS = 1
-"""Of each backend that has more: a burst of other requests finds the rest, then each other backend,
-and only then these.
+"""Slots of each backend that has more, kept for requests of the highest priority. Other requests
+use them only if no candidate has another free slot.
 """
 
 
 class PlacementSettings(NamedTuple):
-    """Leanings of a deployment.
-
-    `other_zone_surcharge` is in units of a backend's full load. `resting_flow_load` is the load of
-    an open flow without a request.
-    `gone_grace_seconds` is how long a backend that has gone may still be used where no other is
-    left; it must stay below the time in which a backend that left must be rid of new flows.
-    `weighs_load`, `avoids_suspects`, `weighs_pace`, `spares_unrepeatable` and `keeps_reserve` are
-    off only to measure what they are worth.
+    """Weights of the cost function, and switches.
+
+    `other_zone_surcharge` is in units of a backend's full load. `open_flow_load` is the load of
+    each open flow, to which a pending request adds 1. `gone_grace_seconds` is how long a backend
+    that was removed from the store may be used if no other is left; it must be shorter than the
+    time after which a leaving backend must get no new flows. `weighs_load`, `avoids_suspects`,
+    `weighs_pace`, `spares_unrepeatable` and `keeps_reserve` are switched off only to measure their
+    effect.
     """
 
     other_zone_surcharge: float = 0.5
-    resting_flow_load: float = 0.05
-    gone_grace_seconds: float = LONGEST_GONE_GRACE_SECONDS
+    open_flow_load: float = 0.05
+    gone_grace_seconds: float = MAX_GONE_GRACE_SECONDS
     weighs_load: bool = True
     avoids_suspects: bool = True
     weighs_pace: bool = True
@@ -59,8 +57,8 @@
 def placement_settings(
     drain_seconds: float, mechanisms: Mechanisms = ALL_MECHANISMS
 ) -> PlacementSettings:
-    """Return the settings for the time in which a leaving backend must be rid of new flows."""
-    grace = min(LONGEST_GONE_GRACE_SECONDS, drain_seconds - HEARING_SECONDS)
+    """Return the settings where a leaving backend must get no new flows after `drain_seconds`."""
+    grace = min(MAX_GONE_GRACE_SECONDS, drain_seconds - PROPAGATION_SECONDS)
     settings = PlacementSettings(
         gone_grace_seconds=max(0.0, grace) if mechanisms.gone_grace else 0.0,
         weighs_load=mechanisms.observed_load,
@@ -74,89 +72,88 @@
     return settings
 
 
-class Tried(NamedTuple):
-    """What has just left a client without an answer: some backends, and perhaps whole zones."""
+class PriorAttempts(NamedTuple):
+    """Backends that did not answer earlier packets of an opening, and zones to avoid."""
 
     backends: Collection[Backend]
     zones: frozenset[str] = frozenset()
 
 
-NOTHING_TRIED = Tried(())
+NO_PRIOR_ATTEMPTS = PriorAttempts(())
 
 
 class Placement:
-    """Chooses backends for one node in `zone`; ties are broken by `chance`.
+    """Chooses backends for one node in `zone`; `rng` breaks ties.
 
-    Cold backends are passed over as `cold_starts` says; without it they count as all others.
-    Backends of `reserving_services` keep room for requests of the highest priority.
-    `counters` tell how often a decision hung on a route's terms.
+    `cold_starts` limits new flows at cold backends; without it they are treated as warm. Backends
+    of `reserving_services` keep room for requests of the highest priority. `counters` counts the
+    decisions that depended on a route's terms.
     """
 
     def __init__(
         self,
         zone: str,
         settings: PlacementSettings,
-        chance: random.Random,
+        rng: random.Random,
         cold_starts: ColdStartGate | None = None,
     ) -> None:
         self._cold_starts = cold_starts
         self._zone = zone
         self._settings = settings
-        self.chance = chance
+        self.rng = rng
         self.counters: Counter[str] = Counter()
         self.reserving_services: frozenset[str] = frozenset()
 
     def choose(
         self,
         backends: Collection[Backend],
-        tried: Tried,
+        tried: PriorAttempts,
         now: float,
         terms: RouteTerms = DEFAULT_TERMS,
     ) -> Backend | None:
-        """Return the backend for a new flow, or None where no backend may take it.
+        """Return the backend for a new flow, or None if no backend may take it.
 
-        `tried` ones got an earlier copy of the opening packet and did not answer it; other zones
-        come first where some zones are told.
+        Backends of `tried`, and those in its zones, are chosen only if no others are left.
         """
         ready = [backend for backend in backends if backend.takes_flows]
         cold: list[Backend] = []
         if self._cold_starts is not None:
             cold = [backend for backend in ready if backend.cold_until > now]
             ready = [backend for backend in ready if backend.cold_until <= now]
-        fresh = [
+        untried = [
             backend
             for backend in ready
             if backend not in tried.backends and backend.down_since is None
         ]
-        answering = [backend for backend in fresh if not self._is_suspect(backend, now)]
+        answering = [backend for backend in untried if not self._is_suspect(backend, now)]
         if cold and not any(map(_has_room, answering)):
-            answering += self._open_to_cold(cold, tried.backends, now)
+            answering += self._usable_cold(cold, tried.backends, now)
         if self._settings.spares_unrepeatable and not terms.repeatable:
-            answering = self._undoubted(answering, now)
+            answering = self._without_doubted(answering, now)
         if self.reserving_services and terms.priority > HIGHEST_PRIORITY:
-            answering = self._outside_reserve(answering)
-        elsewhere = answering
+            answering = self._without_reserved(answering)
+        in_other_zones = answering
         if tried.zones:
-            elsewhere = [other for other in answering if other.record.zone not in tried.zones]
-        for candidates in (elsewhere, answering, fresh, ready):
+            in_other_zones = [other for other in answering if other.record.zone not in tried.zones]
+        for candidates in (in_other_zones, answering, untried, ready):
             if candidates:
                 return self._cheapest(candidates, now)
-        lately_gone = [backend for backend in backends if self._is_lately_gone(backend, now)]
-        return self._cheapest(lately_gone, now) if lately_gone else None
+        recently_gone = [backend for backend in backends if self._is_recently_gone(backend, now)]
+        return self._cheapest(recently_gone, now) if recently_gone else None
 
-    def _undoubted(self, answering: list[Backend], now: float) -> list[Backend]:
-        """Return the backends for a flow whose requests may not run twice."""
+    def _without_doubted(self, answering: list[Backend], now: float) -> list[Backend]:
+        """Return the candidates for a flow whose requests must not run twice."""
         undoubted = [backend for backend in answering if backend.doubted_until <= now]
         if len(undoubted) == len(answering):
             return answering
-        if len(undoubted) < LEAST_UNDOUBTED_SHARE * len(answering):
+        if len(undoubted) < MIN_UNDOUBTED_FRACTION * len(answering):
             self.counters["doubted_not_spared"] += 1
             return answering
         self.counters["doubted_spared"] += 1
         return undoubted
 
-    def _outside_reserve(self, answering: list[Backend]) -> list[Backend]:
-        """Return the backends that leave room for the highest priority; all, where none does."""
+    def _without_reserved(self, answering: list[Backend]) -> list[Backend]:
+        """Return the backends with a free slot besides reserved ones, or all if there are none."""
         if not self._settings.keeps_reserve or not answering:
             return answering
         if answering[0].record.service not in self.reserving_services:
@@ -166,19 +163,19 @@
             self.counters["reserve_kept"] += 1
         return outside or answering
 
-    def waits_for_cold(self, backends: Collection[Backend], now: float) -> bool:
-        """Whether a cold backend may take a flow before long, though none may take it now."""
+    def has_cold_backend(self, backends: Collection[Backend], now: float) -> bool:
+        """Whether a cold backend is up and ready, so that it may take a flow later."""
         return self._cold_starts is not None and any(
             backend.takes_flows and backend.down_since is None and backend.cold_until > now
             for backend in backends
         )
 
     def note_opening(self, backend: Backend, now: float) -> None:
-        """Count an opening packet that goes to a backend, where cold ones are limited."""
+        """Count an opening packet that goes to a cold backend, if cold backends are limited."""
         if self._cold_starts is not None and backend.cold_until > now:
             self._cold_starts.note_opening(backend, now)
 
-    def _open_to_cold(
+    def _usable_cold(
         self, cold: list[Backend], tried: Collection[Backend], now: float
     ) -> list[Backend]:
         """Return the cold backends at which this node may open a flow now."""
@@ -196,7 +193,7 @@
         suspected_until = max(backend.suspect_until, backend.failing_until)
         return self._settings.avoids_suspects and suspected_until > now
 
-    def _is_lately_gone(self, backend: Backend, now: float) -> bool:
+    def _is_recently_gone(self, backend: Backend, now: float) -> bool:
         return (
             backend.gone_at is not None
             and not backend.evacuated
@@ -212,17 +209,17 @@
         if self._settings.weighs_pace:
             typical = typical_seconds(backend.pace for backend in candidates)
         return min(
-            candidates, key=lambda backend: (self._cost(backend, typical, now), self._draw())
+            candidates, key=lambda backend: (self._cost(backend, typical, now), self._tie_breaker())
         )
 
-    def _draw(self) -> float:
-        return self.chance.random()
+    def _tie_breaker(self) -> float:
+        return self.rng.random()
 
     def _cost(self, backend: Backend, typical_seconds: float, now: float) -> float:
         settings = self._settings
         load = 0.0
         if settings.weighs_load:
-            load = backend.pending + backend.busy + settings.resting_flow_load * backend.open
+            load = backend.pending + backend.busy + settings.open_flow_load * backend.open
         capacity = float(max(1, backend.record.slots))
         capacity /= backend.pace.slowness(typical_seconds, now)
         cost = (load + 1.0) / capacity
@@ -232,11 +229,11 @@
 
 
 def _has_room(backend: Backend) -> bool:
-    """Whether a backend has a free slot, as far as this node sees."""
+    """Whether a backend has a free slot, by this node's observation."""
     return backend.pending + backend.busy < max(1, backend.record.slots)
 
 
 def _has_room_beside_reserve(backend: Backend) -> bool:
-    """Whether a backend has a free slot and would keep RESERVED_SLOTS free, if it has so many."""
+    """Whether a backend has a free slot besides RESERVED_SLOTS, or its only slot is free."""
     slots = max(1, backend.record.slots - RESERVED_SLOTS)
     return backend.pending + backend.busy < slots
--- a/src/beamloom/routing/tokens/route_table.py
+++ b/src/beamloom/routing/tokens/route_table.py
@@ -1,4 +1,4 @@
-"""The routes in force: where new flows go. Packets of open flows do not ask here."""
+"""The active routes, which determine the service of a new flow. Open flows do not use them."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 from beamloom.routing.tokens.records import RoutePart, RouteRecord, RoutingConfiguration
 
-LONGEST_LEAD_TURNS = 64
-"""Longer than most sequences of turns are before they repeat themselves."""
+MAX_INITIAL_TURNS = 64
+"""Exceeds the period of the round robin for most weights."""
 
 
 class ActiveRoute:
-    """A route in force with the state of its smooth weighted round robin (as in nginx).
+    """A route with the state of its smooth weighted round robin (as in nginx).
 
-    Each node begins at a turn drawn by chance: in a large fleet a node sees few flows of a route,
-    and if all began with the same part, that one would get too many.
+    Each node starts at a random turn. In a large fleet a node gets few flows of a route, so a
+    common start would send too many flows to the first part.
     """
 
-    def __init__(self, record: RouteRecord, chance: random.Random) -> None:
+    def __init__(self, record: RouteRecord, rng: random.Random) -> None:
         self.record = record
         self._credit = {part.service: 0.0 for part in record.parts}
         if len(record.parts) > 1:
-            for _ in range(chance.randrange(LONGEST_LEAD_TURNS)):
+            for _ in range(rng.randrange(MAX_INITIAL_TURNS)):
                 self.next_parts()
 
     def next_parts(self) -> list[RoutePart]:
-        """Return the parts, the one whose turn it is first; parts of weight 0 come last."""
+        """Advance by one turn; return the parts by preference, those of weight 0 last."""
         parts = self.record.parts
         if len(parts) == 1:
             return [parts[0]]
@@ -36,27 +36,27 @@
         self._credit[ordered[0].service] -= total
         return ordered
 
-    def keep_turns_of(self, previous: ActiveRoute) -> None:
-        """Go on where an earlier version of the same route stood."""
+    def copy_turns_from(self, previous: ActiveRoute) -> None:
+        """Copy the round-robin state of the parts that an earlier version has too."""
         for service in self._credit.keys() & previous._credit.keys():
             self._credit[service] = previous._credit[service]
 
 
 class RouteTable:
-    """Routes by destination; one version at a time, never an earlier one than before."""
+    """Routes by destination, of one configuration version; the version never decreases."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self.configuration: RoutingConfiguration | None = None
         self._active: dict[bytes, ActiveRoute] = {}
 
     @property
     def version(self) -> int:
-        """The version in force; -1 before the first."""
+        """The active version; -1 before the first."""
         return -1 if self.configuration is None else self.configuration.version
 
     def put_in_force(self, configuration: RoutingConfiguration) -> bool:
-        """Take a version, unless it is not newer than the one in force; return whether it was."""
+        """Activate a configuration if it is newer than the active one; return whether it is."""
         if configuration.version <= self.version:
             return False
         before = self._active
@@ -68,12 +68,12 @@
         return True
 
     def _activate(self, record: RouteRecord, before: ActiveRoute | None) -> ActiveRoute:
-        """Return a route's new state; most routes are the same in the next version."""
+        """Return the state of a route, which is kept if the route did not change."""
         if before is not None and before.record == record:
             return before
-        active = ActiveRoute(record, self._chance)
+        active = ActiveRoute(record, self._rng)
         if before is not None:
-            active.keep_turns_of(before)
+            active.copy_turns_from(before)
         return active
 
     def find(self, destination: bytes) -> ActiveRoute | None:
--- a/src/beamloom/routing/tokens/router.py
+++ b/src/beamloom/routing/tokens/router.py
@@ -1,9 +1,9 @@
-"""The token router: one packet of a client in, one command out.
+"""Token router: takes one client packet and returns one command.
 
-An opening packet gets a backend and its token; any other packet is sent where its token says, if
-the token was minted for this flow. No reset goes out on a flow that may be open; where its backend
-is dead, as a later incarnation has the address or a check says so, the flow is over, and its client
-is told at once.
+An opening packet gets a backend and a token. Any other packet is forwarded to the backend that its
+token names, if the token was minted for its flow; without a valid token it is dropped, as the flow
+may be open. If a later incarnation has the backend's address, or a check found the backend dead,
+the flow is over and its client gets a reset.
 """
 
 from __future__ import annotations
@@ -29,43 +29,51 @@
     ResetFlow,
     RouterCommand,
 )
-from beamloom.routing.tokens.placement import HIGHEST_PRIORITY, NOTHING_TRIED, Placement, Tried
+from beamloom.routing.tokens.placement import (
+    HIGHEST_PRIORITY,
+    NO_PRIOR_ATTEMPTS,
+    Placement,
+    PriorAttempts,
+)
 from beamloom.routing.tokens.records import RoutingConfiguration
 from beamloom.routing.tokens.route_table import ActiveRoute, RouteTable
 from beamloom.routing.tokens.token import NO_TOKEN, TokenCodec
 
-ANSWER_SECONDS = 0.15
-"""A copy of an opening packet that comes sooner after it (both waited in a socket) goes to the same
-backend: two backends that both answer leave the client with the token of the one and the sequence
-numbers of the other. Clients send copies after 0.2 s at the earliest.
+MIN_COPY_INTERVAL_SECONDS = 0.15
+"""A copy of an opening packet that arrives sooner goes to the same backend. Clients send copies
+after 0.2 s at the earliest, so both packets waited in a socket. If two backends answered, the
+client would combine the token of one with the sequence numbers of the other.
 """
 
-OVERDUE_SHARE = 0.75
-"""Part of a route's objective after which an answer is overdue: its client can still be served by
-others in time, and a backend that does its usual work is seldom so late.
+OVERDUE_FRACTION = 0.75
+"""Fraction of a route's objective after which an answer is overdue. Another backend can still serve
+the client in time, and a healthy backend is rarely this late.
 """
 FIRST_COPY_SECONDS = 0.2
-"""From a client's first opening packet to its first copy (the platform's protocol)."""
-LAST_COPY = 2
-"""Clients send two copies of an opening packet, after 0.2 and 0.6 s (the platform's protocol)."""
+"""Delay from a client's opening packet to its first copy (the platform's protocol)."""
+COPIES_PER_OPENING = 2
+"""Clients send copies of an opening packet after 0.2 and 0.6 s (the platform's protocol)."""
 
-MOST_RESETS = 65536
-"""More flows than a node has; the oldest give way, and are told when their next packet comes."""
+MAX_PENDING_RESETS = 65536
+"""Exceeds the number of flows of a node. When the queue is full, the oldest reset is discarded; its
+client gets a reset in answer to its next packet.
+"""
 
 
 def ignore_decision(_decision: Decision) -> None:
-    """Take a decision nobody wants to hear of."""
+    """Discard a decision."""
 
 
 class TokenRouter:
-    """Routes and backends of one node, and the decision for each packet.
-
-    `on_decision` hears of openings, refusals and drops. Before `codec` is set, all is dropped.
-    While routes and backends may be out of date, `may_refuse` is to be False: what is not known
-    here may be there, so its opening packets are dropped, and their copies judged by what is known
-    then. With `moves_copies`, a copy of an opening packet goes to another backend, with
-    `leaves_zones` in another zone. With `refuses_too_late`, what cannot be served within its
-    time-out is refused at once. `resets` are for flows that have ended without a packet of theirs.
+    """Routes, backends and flows of one node; decides what to do with each packet.
+
+    `on_decision` receives each decision of `decisions.py`. All packets are dropped until `codec` is
+    set. `may_refuse` must be False while routes and backends may be out of date: opening packets
+    that would be refused are then dropped, and a later copy is decided by the view at that time.
+    With `moves_copies`, a copy of an opening packet goes to another backend, and with
+    `leaves_zones` preferably in another zone. With `refuses_too_late`, a client that does not wait
+    until its next copy is refused instead of waiting for cold backends. `resets` queues the resets
+    of flows that end without a packet from the client.
     """
 
     def __init__(
@@ -82,18 +90,18 @@
         self._refuses_too_late = refuses_too_late
         self.codec: TokenCodec | None = None
         self.may_refuse = True
-        self.routes = RouteTable(placement.chance)
+        self.routes = RouteTable(placement.rng)
         self.backends = BackendTable()
         self.flows = FlowObserver(on_decision)
-        self.resets: deque[ResetFlow] = deque(maxlen=MOST_RESETS)
-        self.backends.on_ended = self._end_flows_of_ended
+        self.resets: deque[ResetFlow] = deque(maxlen=MAX_PENDING_RESETS)
+        self.backends.on_ended = self._reset_flows_of_ended
         self._on_decision = on_decision
         self.counters: Counter[str] = Counter()
         self._placement = placement
         placement.counters = self.counters
 
     def put_in_force(self, configuration: RoutingConfiguration) -> bool:
-        """Take a configuration if it is newer; return whether it was."""
+        """Activate a configuration if it is newer than the active one; return whether it is."""
         taken = self.routes.put_in_force(configuration)
         if taken:
             self.flows.idle_seconds = configuration.idle_seconds
@@ -104,14 +112,14 @@
         return taken
 
     def find_patience(self, destination: bytes) -> float | None:
-        """Return how long an answer may take before its backend is doubted; None: no objective."""
+        """Return after how many seconds an answer is overdue, or None without an objective."""
         route = self.routes.find(destination)
         if route is None or route.record.terms.objective_seconds is None:
             return None
-        return OVERDUE_SHARE * route.record.terms.objective_seconds
+        return OVERDUE_FRACTION * route.record.terms.objective_seconds
 
     def handle(self, packet: ClientPacket, now: float) -> RouterCommand:
-        """Decide what becomes of one packet."""
+        """Return the command for one packet."""
         if self.codec is None:
             return self._drop(packet, DropReason.NO_KEY)
         if packet.kind is PacketKind.OPEN:
@@ -119,7 +127,7 @@
         return self._follow_token(packet, self.codec, now)
 
     def advance(self, now: float) -> None:
-        """Let time pass: openings fail, resting flows are forgotten."""
+        """Process due checks and timeouts of flows; remove idle flows."""
         self.flows.advance(now)
 
     def _open(self, packet: ClientPacket, codec: TokenCodec, now: float) -> RouterCommand:
@@ -133,43 +141,48 @@
             flow = None
         if flow is not None and flow.opened:
             return self._forward(packet, flow.backend, flow.token)
-        if flow is not None and self._keeps_copy(flow, now):
+        if flow is not None and self._keeps_backend(flow, now):
             token = codec.mint(packet.flow, flow.backend.record.identity)
             self._placement.note_opening(flow.backend, now)
             return self._forward(packet, flow.backend, token)
-        backend = self._choose(route, self._tried_before(flow), now)
+        backend = self._choose(route, self._prior_attempts(flow), now)
         if backend is None:
-            return self._open_nowhere(packet, route, flow, now)
-        self._tell_placed(packet, route, backend, now)
+            return self._handle_no_backend(packet, route, flow, now)
+        self._report_placed(packet, route, backend, now)
         self._placement.note_opening(backend, now)
         self.flows.note_opening(packet.flow, backend, now)
         self.counters["opening_copies" if packet.acknowledged else "openings"] += 1
         token = codec.mint(packet.flow, backend.record.identity)
         return self._forward(packet, backend, token)
 
-    def _open_nowhere(
+    def _handle_no_backend(
         self, packet: ClientPacket, route: ActiveRoute, flow: ObservedFlow | None, now: float
     ) -> RouterCommand:
-        """Answer an opening that no backend may take now.
+        """Drop or refuse an opening packet that no backend can accept now.
 
-        Where cold backends may take it a moment later, its copies are waited for, but for the last.
+        It is dropped if a cold backend may accept a later copy. If there is no cold backend, copies
+        are dropped too, as their flow may be open at a backend that another node chose.
         """
         if flow is not None:
             return self._drop(packet, DropReason.NO_BACKEND_FOR_COPY)
-        waits = any(
-            self._placement.waits_for_cold(self.backends.of_service(part.service), now)
+        has_cold_backend = any(
+            self._placement.has_cold_backend(self.backends.of_service(part.service), now)
             for part in route.record.parts
         )
-        if waits and packet.acknowledged < LAST_COPY and self._has_time(route, packet):
+        if (
+            has_cold_backend
+            and packet.acknowledged < COPIES_PER_OPENING
+            and self._can_wait_for_copy(route, packet)
+        ):
             return self._drop(packet, DropReason.COLD_BACKENDS)
-        if packet.acknowledged and not waits:
+        if packet.acknowledged and not has_cold_backend:
             return self._drop(packet, DropReason.NO_BACKEND_FOR_COPY)
         return self._refuse_opening(packet, RefusalReason.NO_BACKEND)
 
-    def _has_time(self, route: ActiveRoute, packet: ClientPacket) -> bool:
-        """Whether a client still waits when it would send its next copy.
+    def _can_wait_for_copy(self, route: ActiveRoute, packet: ClientPacket) -> bool:
+        """Return whether a client will still be waiting when it sends its next copy.
 
-        Only a first packet is judged: an earlier copy may be at a backend, by way of another node.
+        Only the first packet is checked: another node may have forwarded an earlier copy.
         """
         timeout = route.record.terms.timeout_seconds
         if not self._refuses_too_late or timeout is None or packet.acknowledged:
@@ -179,23 +192,23 @@
         self.counters["cannot_meet_timeout"] += 1
         return False
 
-    def _keeps_copy(self, flow: ObservedFlow, now: float) -> bool:
-        """Whether a copy of a flow's opening packet goes where the last one went."""
+    def _keeps_backend(self, flow: ObservedFlow, now: float) -> bool:
+        """Return whether a copy of an opening packet goes to the same backend as the last one."""
         if flow.backend.evacuated:
             return False
-        if now - flow.placed_at < ANSWER_SECONDS:
+        if now - flow.placed_at < MIN_COPY_INTERVAL_SECONDS:
             return True
         return not self._moves_copies and flow.backend.takes_flows
 
-    def _tried_before(self, flow: ObservedFlow | None) -> Tried:
-        """Return which backends have left a client's copies without an answer, and their zones."""
+    def _prior_attempts(self, flow: ObservedFlow | None) -> PriorAttempts:
+        """Return the backends that did not answer the flow's opening packets, and their zones."""
         if flow is None:
-            return NOTHING_TRIED
+            return NO_PRIOR_ATTEMPTS
         backends = [*flow.tried, flow.backend]
         zones = (backend.record.zone for backend in backends)
-        return Tried(backends, frozenset(zones if self._leaves_zones else ()))
+        return PriorAttempts(backends, frozenset(zones if self._leaves_zones else ()))
 
-    def _choose(self, route: ActiveRoute, tried: Tried, now: float) -> Backend | None:
+    def _choose(self, route: ActiveRoute, tried: PriorAttempts, now: float) -> Backend | None:
         for part in route.next_parts():
             backends = self.backends.of_service(part.service)
             backend = self._placement.choose(backends, tried, now, route.record.terms)
@@ -222,15 +235,15 @@
             return self._end_flow(packet, RefusalReason.BACKEND_DOWN, now)
         if packet.kind is PacketKind.END:
             self.flows.note_end(packet, now)
-        elif flow is None or not _is_of_former_life(flow, backend):
+        elif flow is None or not _opened_at_earlier_incarnation(flow, backend):
             self.flows.note_packet(packet, backend, now)
         return self._forward(packet, backend, NO_TOKEN)
 
     def end_flows(self, backend: Backend, reason: RefusalReason) -> int:
-        """Reset the open flows of a backend that cannot hold them any more; return how many.
+        """Reset the open flows of a backend that no longer holds them; return their number.
 
-        A client that waits is told what else it would learn at its deadline; one that does not
-        opens another flow for its next request.
+        A client that waits for an answer need not wait for its deadline, and an idle one opens a
+        new flow for its next request.
         """
         ended = self.flows.take_open_flows_of(backend)
         for flow, acknowledged in ended:
@@ -241,15 +254,15 @@
             self._on_decision(FlowRefused(flow, reason, version, 0, service, 0))
         return len(ended)
 
-    def _end_flows_of_ended(self, backend: Backend, _now: float) -> None:
+    def _reset_flows_of_ended(self, backend: Backend, _now: float) -> None:
         self.end_flows(backend, RefusalReason.BACKEND_ENDED)
 
     def _end_flow(self, packet: ClientPacket, reason: RefusalReason, now: float) -> RouterCommand:
-        """Answer a packet of a flow whose backend cannot hold it any more."""
+        """Answer a packet with a reset, as the flow's backend no longer holds the flow."""
         self.flows.note_end(packet, now)
         return self._refuse(packet, reason, packet.acknowledged)
 
-    def _tell_placed(
+    def _report_placed(
         self, packet: ClientPacket, route: ActiveRoute, backend: Backend, now: float
     ) -> None:
         record = backend.record
@@ -305,9 +318,9 @@
         return DropPacket(packet, reason)
 
 
-def _is_of_former_life(flow: ObservedFlow, backend: Backend) -> bool:
-    """Whether a flow opened at a backend that has started anew under its name since.
+def _opened_at_earlier_incarnation(flow: ObservedFlow, backend: Backend) -> bool:
+    """Return whether a flow was opened at an earlier incarnation of the backend of that name.
 
-    It does not hold the flow and tells the client so; that says nothing of it as it is now.
+    The present incarnation resets such a flow, so its packets are not counted for the backend.
     """
     return flow.backend.forgotten and flow.backend.record.name == backend.record.name
--- a/tests/unit/tokens/test_error_answers.py
+++ b/tests/unit/tokens/test_error_answers.py
@@ -7,7 +7,7 @@
 from beamloom.routing.tokens.answer_sizes import ANSWERS_NEEDED, AnswerSizes
 from beamloom.routing.tokens.backend_table import MOST_FAILING
 from beamloom.routing.tokens.packets import ForwardPacket
-from beamloom.routing.tokens.placement import LEAST_UNDOUBTED_SHARE
+from beamloom.routing.tokens.placement import MIN_UNDOUBTED_FRACTION
 from beamloom.routing.tokens.records import RequestKind, RouteTerms
 from beamloom.settings.mechanisms import ALL_MECHANISMS
 from tests.unit.tokens.builders import (
@@ -119,7 +119,7 @@
         self.assertNotIn(7, self.identities())
 
     def test_one_node_does_not_turn_such_flows_from_most_of_a_service(self) -> None:
-        most = SOME[: int(len(SOME) * LEAST_UNDOUBTED_SHARE) + 1]
+        most = SOME[: int(len(SOME) * MIN_UNDOUBTED_FRACTION) + 1]
         self.tell(*most, reporters="a")
         self.assertLess(set(most), self.identities())
 
--- a/tests/unit/tokens/test_placement_by_terms.py
+++ b/tests/unit/tokens/test_placement_by_terms.py
@@ -5,7 +5,12 @@
 
 from beamloom.routing.tokens.backend_table import Backend
 from beamloom.routing.tokens.packets import DropPacket, ForwardPacket, PacketKind, ResetFlow
-from beamloom.routing.tokens.placement import NOTHING_TRIED, Placement, PlacementSettings, Tried
+from beamloom.routing.tokens.placement import (
+    NO_PRIOR_ATTEMPTS,
+    Placement,
+    PlacementSettings,
+    PriorAttempts,
+)
 from beamloom.routing.tokens.records import (
     BackendState,
     RequestKind,
@@ -165,12 +170,12 @@
             held = [random_backend(number, chance) for number in range(chance.randrange(6))]
             placement = Placement(ZONE, PlacementSettings(), random.Random(1))
             placement.reserving_services = frozenset({"tracker"})
-            tried = Tried([other for other in held if chance.random() < 0.3])
-            plain = placement.choose(held, NOTHING_TRIED, NOW, RouteTerms(priority=0))
+            tried = PriorAttempts([other for other in held if chance.random() < 0.3])
+            plain = placement.choose(held, NO_PRIOR_ATTEMPTS, NOW, RouteTerms(priority=0))
             for priority in range(4):
                 for kind in RequestKind:
                     terms = RouteTerms(0.4, 1.0, priority, kind)
-                    for skipped in (NOTHING_TRIED, tried):
+                    for skipped in (NO_PRIOR_ATTEMPTS, tried):
                         chosen = placement.choose(held, skipped, NOW, terms)
                         self.assertEqual(chosen is None, plain is None)
 
--- a/tests/unit/tokens/test_placement_by_view.py
+++ b/tests/unit/tokens/test_placement_by_view.py
@@ -140,7 +140,7 @@
             assert isinstance(command, ForwardPacket)
             router.advance(began + 0.25)
             router.handle(packet(client, token=command.token), began + 0.3)
-        self.assertAlmostEqual(router.flows.patience_seconds, 0.6)
+        self.assertAlmostEqual(router.flows.opening_timeout_seconds, 0.6)
         self.assertEqual((held.failures, held.pending, held.open), (0, 0, 10))
         command = router.handle(opening(50), 11.0)
         router.advance(11.3)
