--- a/src/beamloom/routing/tokens/backend_table.py
+++ b/src/beamloom/routing/tokens/backend_table.py
@@ -1,8 +1,8 @@
-"""Backends by token bucket and by service, with what this node saw of them.
+"""Backends by token bucket, service and address, with this node's observations of them.
 
-A backend that has gone from the store may serve on, so its token is decoded for as long as a flow
-may last. A backend whose address has passed to a later incarnation has ended for certain. One that
-starts anew under its name is another backend: nothing that was seen of the former life counts.
+A backend that was removed from the store may still serve, so its tokens are decoded for as long as
+a flow may last. It has certainly ended once a later incarnation has its address. A backend that
+restarts under its name is a new one, to which earlier observations do not apply.
 """
 
 from __future__ import annotations
@@ -15,39 +15,44 @@
 from beamloom.routing.tokens.token import bucket_of_identity, bucket_of_token
 
 SWEEP_SECONDS = 1.0
-MOST_SUSPECTED = 1 / 3
-MOST_FAILING = 1 / 5
-"""The others must bear what these would get."""
+MAX_SUSPECTED_FRACTION = 1 / 3
+MAX_FAILING_FRACTION = 1 / 5
+"""Limits of the share of a service that is avoided, as the other backends must take its load."""
 GONE_BACKEND_SECONDS = 75.0
-"""Longer than a flow is kept (60 s)."""
-NO_RETURNS: Mapping[str, int] = {}
-"""No zone was taken back, or nothing tells at which revision."""
+"""How long a backend that the store stopped listing is kept: longer than a flow (60 s)."""
+NO_RETURN_REVISIONS: Mapping[str, int] = {}
+"""No evacuation ended, or the revision at which it ended is unknown."""
 
 
 class Backend:
-    """One incarnation: its record, when it went, and this node's own view of its load.
-
-    `pending` openings have not been answered yet, `open` flows have; of those `busy` ones wait for
-    an answer. `failures` counts openings in a row that were not answered. `stalled` requests have
-    been repeated again and again. `ended` means that a later incarnation has its address;
-    `forgotten`, that nothing is known of it any more; `evacuated`, that operators evacuate its
-    zone; `known_since`, when this node heard that it has started anew under its name; `down_since`,
-    that a check found it dead; `failing_until`, that it fails requests, for the
-    `failing_spells`-th time after another such spell; `doubted_until`, that requests which may not
-    run twice are better kept from it. It may be cold, as after a start, until `cold_until`:
-    `told_cold_until` by its own word, `presumed_cold_until` where nobody tells, and
-    `returned_cold_until` since its zone was taken back, at the revision `zone_returned_at`.
-    `revision` is that of the store's last word on it. `answered_at` is when it last answered an
-    opening, `alive_at` when anything last came of it, `pace` how long its answers take. It is not
-    checked before `check_from`; so many checks (`same_outcomes`) in a row told the same. With
-    `was_refused`, nobody listened at its address while it was down. Times are in seconds.
+    """One incarnation of a backend: its store record and this node's observations of it.
+
+    Load: `pending` openings are unanswered; `open` flows are answered, and `busy` ones of them wait
+    for an answer. `stalled` requests were repeated several times. `pace` averages answer times.
+
+    Failures: `failures` counts consecutive unanswered openings. New flows avoid a backend until
+    `suspect_until`, as it does not answer, and until `failing_until`, as it answers with errors;
+    `failing_spells` counts relapses soon after such a time. Flows whose requests must not run twice
+    avoid it until `doubted_until`.
+
+    Liveness: `answered_at` is when it last answered an opening, `last_alive_at` when it last showed
+    any sign of life. A check found it dead at `down_since`; with `was_refused`, a connection was
+    refused since then. It is not checked before `next_check_at`, after `repeated_outcomes` checks
+    in a row with the same result.
+
+    Record: `revision` is that of its last store record. `gone_at` is when the store stopped listing
+    it. With `ended`, a later incarnation has its address; with `forgotten`, it was removed from the
+    table; with `evacuated`, operators evacuate its zone. This node learned at `known_since` that
+    the backend had restarted under its name.
+
+    Warm-up: it is cold until the latest of `reported_cold_until`, as its record says,
+    `presumed_cold_until`, after its process was down, and `zone_return_cold_until`, after the
+    evacuation of its zone ended at the revision `zone_returned_at`. Times are in seconds.
     """
 
     __slots__ = (
-        "alive_at",
         "answered_at",
         "busy",
-        "check_from",
         "doubted_until",
         "down_since",
         "ended",
@@ -58,18 +63,20 @@
         "forgotten",
         "gone_at",
         "known_since",
+        "last_alive_at",
+        "next_check_at",
         "open",
         "pace",
         "pending",
         "presumed_cold_until",
         "record",
-        "returned_cold_until",
+        "repeated_outcomes",
+        "reported_cold_until",
         "revision",
-        "same_outcomes",
         "stalled",
         "suspect_until",
-        "told_cold_until",
         "was_refused",
+        "zone_return_cold_until",
         "zone_returned_at",
     )
 
@@ -81,9 +88,9 @@
         self.revision = revision
         self.ended = False
         self.evacuated = False
-        self.told_cold_until = float("-inf")
+        self.reported_cold_until = float("-inf")
         self.presumed_cold_until = float("-inf")
-        self.returned_cold_until = float("-inf")
+        self.zone_return_cold_until = float("-inf")
         self.zone_returned_at: int | None = None
         self.gone_at: float | None = None
         self.forgotten = False
@@ -95,60 +102,61 @@
         self.suspect_until = 0.0
         self.answered_at = float("-inf")
         self.pace = AnswerPace()
-        self.alive_at = float("-inf")
+        self.last_alive_at = float("-inf")
         self.failing_until = float("-inf")
         self.failing_spells = 0
         self.doubted_until = float("-inf")
         self.down_since: float | None = None
-        self.check_from = float("-inf")
-        self.same_outcomes = 0
+        self.next_check_at = float("-inf")
+        self.repeated_outcomes = 0
         self.was_refused = False
 
     def doubt(self, until: float) -> None:
-        """Keep requests that may not run twice from it until then, where others can take them."""
+        """Let flows whose requests must not run twice avoid it, if enough others can take them."""
         self.doubted_until = max(self.doubted_until, until)
 
     def note_warm_up(self, record: BackendRecord, now: float) -> None:
-        """Take how much longer the backend says that it is cold.
+        """Record how much longer the backend is cold by its record.
 
-        That it is warm holds at once: where its start was heard late, so was what is left of it.
+        A record without a warm-up ends it at once: an earlier record that arrived late has put the
+        end too late.
         """
         is_cold = record.warm_up_seconds > 0
-        self.told_cold_until = now + record.warm_up_seconds if is_cold else float("-inf")
+        self.reported_cold_until = now + record.warm_up_seconds if is_cold else float("-inf")
 
     def note_zone_returned(self, revision: int | None, cold_until: float) -> None:
-        """Take it for cold, as its zone was taken back, unless it has said since that it is not."""
+        """Presume it cold after its zone's evacuation, unless a later record reports no warm-up."""
         self.zone_returned_at = revision
-        self.returned_cold_until = max(self.returned_cold_until, cold_until)
-        self.note_word_since_return(self.record)
+        self.zone_return_cold_until = max(self.zone_return_cold_until, cold_until)
+        self.apply_record_since_zone_return(self.record)
 
-    def note_word_since_return(self, record: BackendRecord) -> None:
-        """Believe an entry that was written after the zone's return and tells no warm-up.
+    def apply_record_since_zone_return(self, record: BackendRecord) -> None:
+        """Stop presuming it cold if a record written after its zone's return has no warm-up.
 
-        Revisions of two eras tell nothing of it: what a restored store holds may be older.
+        Revisions of different eras are not compared: a restored store may hold an older record.
         """
         returned_at = self.zone_returned_at
         if returned_at is None or record.warm_up_seconds > 0:
             return
         if self.revision > returned_at and era_of(self.revision) == era_of(returned_at):
-            self.returned_cold_until = float("-inf")
+            self.zone_return_cold_until = float("-inf")
 
     @property
     def cold_until(self) -> float:
-        """Until when it may be cold, as it says itself or as this node must presume."""
-        return max(self.told_cold_until, self.presumed_cold_until, self.returned_cold_until)
+        """When its warm-up ends, as reported by its record or presumed by this node."""
+        return max(self.reported_cold_until, self.presumed_cold_until, self.zone_return_cold_until)
 
     @property
     def takes_flows(self) -> bool:
-        """Whether the store lists it as ready, and nobody evacuates its zone."""
+        """Whether the store lists it as ready and its zone is not evacuated."""
         listed = self.gone_at is None and not self.ended and not self.evacuated
         return listed and self.record.state is BackendState.READY
 
 
 class BackendTable:
-    """All backends that packets may go to.
+    """All backends that packets may be forwarded to.
 
-    `on_ended` hears of each whose address has passed to a later incarnation.
+    `on_ended` is called for each backend whose address passes to a later incarnation.
     """
 
     def __init__(self) -> None:
@@ -166,13 +174,13 @@
         return len(self._by_name)
 
     def all(self) -> Iterable[Backend]:
-        """Return every backend, gone ones among them."""
+        """Return every backend, including those that the store no longer lists."""
         return self._by_name.values()
 
     def note_failing(self, name: str, since: float, now: float, until: float) -> Backend | None:
-        """Pass a backend over that answers with errors; return it if that is new.
+        """Avoid a backend that answers with errors; return it if it was not avoided before.
 
-        Never more than MOST_FAILING of a service: then something else is wrong.
+        At most MAX_FAILING_FRACTION of a service is avoided: more failures have another cause.
         """
         backend = self.find_alive_since(name, since)
         if backend is None or backend.failing_until >= until:
@@ -180,17 +188,17 @@
         is_new = backend.failing_until < now
         peers = [other for other in self.of_service(backend.record.service) if other.takes_flows]
         failing = sum(other.failing_until >= now for other in peers if other is not backend)
-        if failing + 1 > MOST_FAILING * len(peers):
+        if failing + 1 > MAX_FAILING_FRACTION * len(peers):
             return None
         backend.failing_until = until
         return backend if is_new else None
 
     def find(self, name: str) -> Backend | None:
-        """Return the backend of a name."""
+        """Return the backend of a name, or None."""
         return self._by_name.get(name)
 
     def find_alive_since(self, name: str, since: float) -> Backend | None:
-        """Return the backend of a name, unless what was seen then was of a former life of it."""
+        """Return the backend of a name, unless it restarted after an observation at `since`."""
         backend = self._by_name.get(name)
         return None if backend is None or since < backend.known_since else backend
 
@@ -199,73 +207,77 @@
         return self._by_bucket.get(bucket_of_token(token), [])
 
     def of_service(self, service: str) -> list[Backend]:
-        """Return the backends of a service, gone ones among them."""
+        """Return the backends of a service, including those that the store no longer lists."""
         return self._by_service.get(service, [])
 
     def suspect(self, name: str, since: float, until: float) -> Backend | None:
-        """Pass a backend over for new flows, unless it has answered since; return it if new.
+        """Avoid a backend for new flows until `until`; return it if that is later than before.
 
-        Never more than MOST_SUSPECTED of a service: where so many are silent, something else is
-        wrong, and the others would get too much.
+        Nothing changes if it has answered since the report. At most MAX_SUSPECTED_FRACTION of a
+        service is avoided: if more are silent, there is another cause, and the remaining backends
+        would be overloaded.
         """
         backend = self.find_alive_since(name, since)
         if backend is None or backend.answered_at >= since or backend.suspect_until >= until:
             return None
         peers = [other for other in self.of_service(backend.record.service) if other.takes_flows]
         suspected = sum(other.suspect_until > since for other in peers if other is not backend)
-        if suspected + 1 > MOST_SUSPECTED * len(peers):
+        if suspected + 1 > MAX_SUSPECTED_FRACTION * len(peers):
             return None
         backend.suspect_until = until
         return backend
 
     def use_services(self, services: frozenset[str], now: float) -> None:
-        """Take which services there are; before the first call, any is taken to be one."""
+        """Set the services of the configuration; before the first call, any service is accepted."""
         if services == self._services:
             return
         self._services = services
         for backend in sorted(self._by_name.values(), key=lambda held: held.revision):
             if backend.gone_at is None:
-                self._take_address(backend, now)
+                self._claim_address(backend, now)
 
     def use_warm_ups(self, warm_ups: Iterable[ServiceWarmUp]) -> None:
-        """Take how long backends of each service may be cold."""
+        """Set how long backends of each service may be cold."""
         self._warm_up_seconds = {warm_up.service: warm_up.seconds for warm_up in warm_ups}
 
     def evacuate(
-        self, zones: frozenset[str], now: float, returns: Mapping[str, int] = NO_RETURNS
+        self,
+        zones: frozenset[str],
+        now: float,
+        return_revisions: Mapping[str, int] = NO_RETURN_REVISIONS,
     ) -> None:
-        """Let backends of these zones, and of no others, get no new flows.
+        """Exclude backends of these zones, and of no others, from new flows.
 
-        Those of a zone that is taken back may have turned cold unheard; `returns` tells at which
-        revision of the store each was, where that is known.
+        Backends of a zone whose evacuation ends may have restarted unnoticed and are presumed cold.
+        `return_revisions` holds the store revision at which each evacuation ended, if known.
         """
         self._evacuated_zones = zones
         for backend in self._by_name.values():
             evacuated = backend.record.zone in zones
             if backend.evacuated and not evacuated:
                 seconds = self._warm_up_seconds.get(backend.record.service, 0.0)
-                revision = returns.get(backend.record.zone)
+                revision = return_revisions.get(backend.record.zone)
                 backend.note_zone_returned(revision, now + seconds)
             backend.evacuated = evacuated
 
     def update(self, record: BackendRecord, revision: int, now: float) -> bool:
-        """Take one record of the store; return whether it changes anything."""
-        self._forget_gone(now)
+        """Apply a store record; return whether it changes anything."""
+        self._forget_expired(now)
         known = self._by_name.get(record.name)
         if known is None:
             self._add(record, revision, now)
             return True
         known.revision = revision
-        known.note_word_since_return(record)
-        came_back = known.gone_at is not None
+        known.apply_record_since_zone_return(record)
+        was_gone = known.gone_at is not None
         known.gone_at = None
-        if _is_another(known.record, record):
+        if _is_new_incarnation(known.record, record):
             self._forget(known)
             self._add(record, revision, now, known_since=now)
             return True
         if not known.ended:
-            self._take_address(known, now)
-        if known.record.tells_same(record) and not came_back:
+            self._claim_address(known, now)
+        if known.record.tells_same(record) and not was_gone:
             known.record = record
             return False
         known.note_warm_up(record, now)
@@ -274,15 +286,15 @@
         return True
 
     def note_process_began(self, backend: Backend, now: float) -> None:
-        """Take a backend for cold whose process was gone, until its entry tells more.
+        """Presume a backend cold whose process was down and can be reached again.
 
-        It has started anew, and nodes can reach it before they hear so.
+        It has restarted, and this node may reach it before it receives the new record.
         """
         seconds = self._warm_up_seconds.get(backend.record.service, 0.0)
         backend.presumed_cold_until = max(backend.presumed_cold_until, now + seconds)
 
     def remove(self, name: str, now: float) -> Backend | None:
-        """Note that the store no longer lists a backend; return it where that is new."""
+        """Record that the store no longer lists a backend; return it if that is new."""
         known = self._by_name.get(name)
         if known is None or known.gone_at is not None:
             return None
@@ -303,19 +315,19 @@
         self._by_bucket.setdefault(bucket, []).append(backend)
         self._by_name[record.name] = backend
         self._by_service.setdefault(record.service, []).append(backend)
-        self._take_address(backend, now)
+        self._claim_address(backend, now)
 
-    def _take_address(self, backend: Backend, now: float) -> None:
-        """Let the later one of two incarnations have an address; a list may name both.
+    def _claim_address(self, backend: Backend, now: float) -> None:
+        """Assign an address to the later of two incarnations; a store list may contain both.
 
-        An entry of a service that no configuration names takes none: it may be anybody's.
+        A backend of a service outside the configuration claims none: anyone may have written it.
         """
         if self._services is not None and backend.record.service not in self._services:
             return
         holder = self._by_address.setdefault(backend.record.address, backend)
         if holder is backend:
             return
-        later = _later_of(holder, backend)
+        later = _later_incarnation(holder, backend)
         if later is None:
             return
         earlier = backend if later is holder else holder
@@ -327,8 +339,8 @@
             earlier.gone_at = now
         self.on_ended(earlier, now)
 
-    def _forget_gone(self, now: float) -> None:
-        """Forget what has been gone for long; not at each of the thousands of records of a list."""
+    def _forget_expired(self, now: float) -> None:
+        """Remove backends gone for GONE_BACKEND_SECONDS, at most once in SWEEP_SECONDS."""
         if now - self._swept_at < SWEEP_SECONDS:
             return
         self._swept_at = now
@@ -353,10 +365,10 @@
             del self._by_bucket[bucket]
 
 
-def _is_another(known: BackendRecord, record: BackendRecord) -> bool:
-    """Whether an entry is of another backend than the known one of its name.
+def _is_new_incarnation(known: BackendRecord, record: BackendRecord) -> bool:
+    """Return whether a record is of another backend than the known one of its name.
 
-    It has started anew then, or another writer has the name.
+    The backend has restarted, or another writer uses its name.
     """
     return (
         known.born_at != record.born_at
@@ -365,11 +377,11 @@
     )
 
 
-def _later_of(one: Backend, other: Backend) -> Backend | None:
-    """Return which of two incarnations has come later to the address that both tell.
+def _later_incarnation(one: Backend, other: Backend) -> Backend | None:
+    """Return which of two backends with the same address got it later, or None if unknown.
 
-    None where nothing tells: a store that was restored from an older copy may list one that has
-    long ended, and not yet the one that lives.
+    Start times decide, else revisions of the same era. Revisions of different eras are not
+    compared: a store restored from an older copy may list an ended backend anew.
     """
     born = (one.record.born_at, other.record.born_at)
     if all(born) and born[0] != born[1]:
--- a/src/beamloom/routing/tokens/flow_observer.py
+++ b/src/beamloom/routing/tokens/flow_observer.py
@@ -261,7 +261,7 @@
         backend.open += 1
         backend.failures = 0
         backend.suspect_until = 0.0
-        backend.answered_at = backend.alive_at = now
+        backend.answered_at = backend.last_alive_at = now
 
     def _extend_opening_timeout(self, seconds: float) -> None:
         """Extend the opening timeout, as an opening was answered `seconds` after it was sent."""
@@ -338,7 +338,7 @@
         seconds = now - flow.requested_at
         self.answer_seconds.observe(seconds)
         flow.backend.pace.note(seconds, now)
-        flow.backend.alive_at = now
+        flow.backend.last_alive_at = now
 
     def _check_answer_size(self, flow: ObservedFlow, packet: ClientPacket, now: float) -> None:
         """Report an answer that is unusually short for its destination."""
--- a/src/beamloom/routing/tokens/liveness.py
+++ b/src/beamloom/routing/tokens/liveness.py
@@ -1,8 +1,8 @@
-"""Whether a backend that seems to be dead is, by a check over TCP, and what then becomes of it.
+"""Schedules TCP checks of backends that may be dead, and applies their outcomes.
 
-Without I/O: `begin` is called for each check that is due, `take` gets its outcome. What makes a
-backend suspect is cheap and often wrong (an opening without an answer, a request that is repeated,
-another node's word); flows are ended on the outcome of this node's own check alone.
+Without I/O: `begin` is called for each check to make, and `take` receives its outcome. Suspicions
+are cheap and often wrong (an unanswered opening, a repeated request, a report of another node);
+flows are ended only on the outcome of this node's own check.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 
 from beamloom.routing.tokens.backend_table import Backend
 
-CHECKS_AT_ONCE = 8
-"""Each takes a descriptor and some processor time."""
-MOST_WAITING = 256
-"""More than two zones of the largest deployments that are played have backends."""
+MAX_CONCURRENT_CHECKS = 8
+"""Each check uses a file descriptor and processor time."""
+MAX_QUEUED_CHECKS = 256
+"""Exceeds the backends in two zones of the largest simulated deployments."""
 RECHECK_SECONDS = 0.5
-"""How soon a backend is checked again; doubled with each check that tells the same."""
-LONGEST_RECHECK_SECONDS = 2.0
-"""A backend that can be reached again is to take flows again soon."""
-ZONE_SECONDS = 1.0
+"""Initial time until a backend is checked again; doubled by each check with the same result."""
+MAX_RECHECK_SECONDS = 2.0
+"""Bounds the time until a backend that can be reached again gets new flows."""
+ZONE_WINDOW_SECONDS = 1.0
 ZONE_DOWN_BACKENDS = 3
-"""Where so many backends of a zone are found down within ZONE_SECONDS, all of them are checked."""
+"""If so many backends of a zone are found down within the window, the others are checked."""
 
 
 class CheckOutcome(Enum):
-    """What a check found; the values are counter labels.
+    """Outcome of a check; the values are counter labels.
 
-    REFUSED: the address answers that nobody listens. SILENT: nothing came back. UNCLEAR: the check
-    itself could not be made, or this node was too slow to tell.
+    REFUSED: the connection was refused. SILENT: there was no answer. UNCLEAR: the check could not
+    be made, this node was too slow, or the backend showed a sign of life during a silent check.
     """
 
     ALIVE = "alive"
@@ -40,7 +40,7 @@
 
 
 class Suspicion(Enum):
-    """Why a backend is checked; the values are counter labels."""
+    """Reason for a check; the values are counter labels."""
 
     UNANSWERED_OPENING = "unanswered_opening"
     REPEATED_REQUEST = "repeated_request"
@@ -54,7 +54,7 @@
 class LivenessChecks:
     """The checks of one node.
 
-    `on_down` hears of each backend that is found dead, `on_up` of one that was and is not any more.
+    `on_down` is called for each backend that is found dead, `on_up` when a dead one is alive again.
     """
 
     def __init__(self) -> None:
@@ -63,37 +63,42 @@
         self.on_down: Callable[[Backend, CheckOutcome, float], None] = lambda *_: None
         self.on_up: Callable[[Backend, float], None] = lambda *_: None
         self._running: dict[str, float] = {}
-        self._waiting: dict[str, Backend] = {}
+        self._queued: dict[str, Backend] = {}
         self._watched: dict[str, Backend] = {}
         self._down_in_zone: dict[str, list[float]] = {}
 
     def suspect(self, backend: Backend, suspicion: Suspicion, now: float) -> None:
-        """Check a backend, unless it is being checked, or was a moment ago."""
+        """Request a check of a backend, unless one is running or was made too recently."""
         name = backend.record.name
-        if backend.forgotten or backend.ended or name in self._running or now < backend.check_from:
+        if (
+            backend.forgotten
+            or backend.ended
+            or name in self._running
+            or now < backend.next_check_at
+        ):
             return
         self.counters[f"suspected_{suspicion.value}"] += 1
-        backend.check_from = now + RECHECK_SECONDS
+        backend.next_check_at = now + RECHECK_SECONDS
         if backend.gone_at is not None:
             self._watched[name] = backend
-        if len(self._running) < CHECKS_AT_ONCE:
+        if len(self._running) < MAX_CONCURRENT_CHECKS:
             self._start(backend, now)
-        elif len(self._waiting) < MOST_WAITING:
-            self._waiting[name] = backend
+        elif len(self._queued) < MAX_QUEUED_CHECKS:
+            self._queued[name] = backend
 
     def watch(self, backend: Backend, now: float) -> None:
-        """Check a backend at once, and again as long as that may change what becomes of flows."""
+        """Check a backend now, and repeatedly while the outcome may affect flows."""
         self._watched[backend.record.name] = backend
-        backend.check_from = now
+        backend.next_check_at = now
         self.suspect(backend, Suspicion.RECHECK, now)
 
     def take(self, backend: Backend, outcome: CheckOutcome, now: float) -> None:
-        """Take the outcome of a check."""
+        """Apply the outcome of a check."""
         began_at = self._running.pop(backend.record.name, now)
         self._start_next(now)
         if backend.forgotten or backend.ended:
             return
-        if outcome is CheckOutcome.SILENT and backend.alive_at >= began_at:
+        if outcome is CheckOutcome.SILENT and backend.last_alive_at >= began_at:
             outcome = CheckOutcome.UNCLEAR
         self.counters[outcome.value] += 1
         if outcome is CheckOutcome.UNCLEAR:
@@ -104,17 +109,17 @@
             self._note_dead(backend, outcome, now)
 
     def advance(self, now: float) -> None:
-        """Check again what is down and listed, and what has gone and may still have flows."""
+        """Repeat due checks of listed backends that are down, and of gone ones with open flows."""
         for name, backend in list(self._watched.items()):
-            if not _is_worth_watching(backend):
+            if not _needs_recheck(backend):
                 del self._watched[name]
             else:
                 self.suspect(backend, Suspicion.RECHECK, now)
 
     def check_zone(self, backends: Iterable[Backend], zone: str, now: float) -> None:
-        """Check all backends of a zone where many have just been found down."""
+        """Check the backends of a zone if several of its backends were just found down."""
         recent = self._down_in_zone.get(zone, [])
-        if sum(now - at < ZONE_SECONDS for at in recent) < ZONE_DOWN_BACKENDS:
+        if sum(now - at < ZONE_WINDOW_SECONDS for at in recent) < ZONE_DOWN_BACKENDS:
             return
         del self._down_in_zone[zone]
         in_zone = [backend for backend in backends if backend.record.zone == zone]
@@ -127,40 +132,40 @@
         self.begin(backend)
 
     def _start_next(self, now: float) -> None:
-        while self._waiting and len(self._running) < CHECKS_AT_ONCE:
-            backend = self._waiting.pop(next(iter(self._waiting)))
+        while self._queued and len(self._running) < MAX_CONCURRENT_CHECKS:
+            backend = self._queued.pop(next(iter(self._queued)))
             if not backend.forgotten and not backend.ended:
                 self._start(backend, now)
 
     def _note_alive(self, backend: Backend, now: float) -> None:
         if backend.down_since is not None:
             backend.down_since = None
-            backend.same_outcomes = 0
+            backend.repeated_outcomes = 0
             self.on_up(backend, now)
             backend.was_refused = False
-        self._put_off(backend, now)
+        self._schedule_recheck(backend, now)
 
     def _note_dead(self, backend: Backend, outcome: CheckOutcome, now: float) -> None:
         self._watched[backend.record.name] = backend
         backend.was_refused |= outcome is CheckOutcome.REFUSED
         if backend.down_since is not None:
-            self._put_off(backend, now)
+            self._schedule_recheck(backend, now)
             return
         backend.down_since = now
-        backend.same_outcomes = 0
-        self._put_off(backend, now)
+        backend.repeated_outcomes = 0
+        self._schedule_recheck(backend, now)
         zone = self._down_in_zone.setdefault(backend.record.zone, [])
-        zone[:] = [*(at for at in zone if now - at < ZONE_SECONDS), now]
+        zone[:] = [*(at for at in zone if now - at < ZONE_WINDOW_SECONDS), now]
         self.on_down(backend, outcome, now)
 
-    def _put_off(self, backend: Backend, now: float) -> None:
-        pause = min(LONGEST_RECHECK_SECONDS, RECHECK_SECONDS * 2**backend.same_outcomes)
-        backend.same_outcomes = min(backend.same_outcomes + 1, 8)
-        backend.check_from = now + pause
+    def _schedule_recheck(self, backend: Backend, now: float) -> None:
+        interval = min(MAX_RECHECK_SECONDS, RECHECK_SECONDS * 2**backend.repeated_outcomes)
+        backend.repeated_outcomes = min(backend.repeated_outcomes + 1, 8)
+        backend.next_check_at = now + interval
 
 
-def _is_worth_watching(backend: Backend) -> bool:
-    """Whether another check may change what becomes of flows."""
+def _needs_recheck(backend: Backend) -> bool:
+    """Whether another check may affect flows."""
     if backend.forgotten or backend.ended:
         return False
     if backend.gone_at is not None:
--- a/tests/unit/tokens/test_error_answers.py
+++ b/tests/unit/tokens/test_error_answers.py
@@ -5,7 +5,7 @@
 
 from beamloom.protocol.view_messages import ViewDigest
 from beamloom.routing.tokens.answer_sizes import ANSWERS_NEEDED, AnswerSizes
-from beamloom.routing.tokens.backend_table import MOST_FAILING
+from beamloom.routing.tokens.backend_table import MAX_FAILING_FRACTION
 from beamloom.routing.tokens.packets import ForwardPacket
 from beamloom.routing.tokens.placement import MIN_UNDOUBTED_FRACTION
 from beamloom.routing.tokens.records import RequestKind, RouteTerms
@@ -125,7 +125,7 @@
 
     def test_never_more_than_a_share_of_a_service(self) -> None:
         self.tell(*SOME)
-        self.assertEqual(len(self.identities()), len(SOME) - int(MOST_FAILING * len(SOME)))
+        self.assertEqual(len(self.identities()), len(SOME) - int(MAX_FAILING_FRACTION * len(SOME)))
 
     def test_open_flows_stay(self) -> None:
         command = self.core.router.handle(opening(99), START + 0.5)
--- a/tests/unit/tokens/test_liveness.py
+++ b/tests/unit/tokens/test_liveness.py
@@ -7,8 +7,8 @@
 from beamloom.routing.tokens.backend_table import Backend
 from beamloom.routing.tokens.flow_observer import QUIET_SECONDS
 from beamloom.routing.tokens.liveness import (
-    CHECKS_AT_ONCE,
-    LONGEST_RECHECK_SECONDS,
+    MAX_CONCURRENT_CHECKS,
+    MAX_RECHECK_SECONDS,
     RECHECK_SECONDS,
     ZONE_DOWN_BACKENDS,
     CheckOutcome,
@@ -72,7 +72,7 @@
 
     def test_a_sign_of_life_during_the_check_outweighs_its_silence(self) -> None:
         self.checks.suspect(self.backend, Suspicion.REPEATED_REQUEST, START)
-        self.backend.alive_at = START + 0.1
+        self.backend.last_alive_at = START + 0.1
         self.checks.take(self.backend, CheckOutcome.SILENT, START + 0.3)
         self.assertEqual((self.down, self.backend.down_since), ([], None))
 
@@ -99,7 +99,7 @@
         self.backend.open = 2
         self.checks.suspect(self.backend, Suspicion.GONE, START)
         self.checks.take(self.backend, CheckOutcome.ALIVE, START + 0.01)
-        self.checks.advance(START + 0.1 + LONGEST_RECHECK_SECONDS)
+        self.checks.advance(START + 0.1 + MAX_RECHECK_SECONDS)
         self.assertEqual(len(self.begun), 2)
         self.checks.take(self.backend, CheckOutcome.ALIVE, START + 2.2)
         self.backend.open = 0
@@ -117,14 +117,14 @@
         self.checks.watch(self.backend, START + 6.0)
         self.assertEqual(len(self.begun), 2)
         self.checks.take(self.backend, CheckOutcome.SILENT, START + 6.2)
-        self.checks.advance(START + 6.3 + LONGEST_RECHECK_SECONDS)
+        self.checks.advance(START + 6.3 + MAX_RECHECK_SECONDS)
         self.assertEqual(len(self.begun), 3)
 
     def test_only_so_many_at_once(self) -> None:
         held = [Backend(backend(number), 1) for number in range(1, 30)]
         for one in held:
             self.checks.suspect(one, Suspicion.REPORTED, START)
-        self.assertEqual(len(self.begun), CHECKS_AT_ONCE)
+        self.assertEqual(len(self.begun), MAX_CONCURRENT_CHECKS)
         while self.begun:
             self.checks.take(self.begun.pop(0), CheckOutcome.SILENT, START + 0.3)
         self.assertEqual(len(self.down), len(held))
