--- a/src/beamloom/routing/tokens/__init__.py
+++ b/src/beamloom/routing/tokens/__init__.py
@@ -1,5 +1,5 @@
-"""Routing by tokens: each packet of an open flow says which backend it belongs to.
+"""Routing by tokens: each packet of an open flow carries a token that identifies its backend.
 
-Used where both ends of a flow send back a value that a balancer wrote (the cookie of Cheetah,
-NSDI 2020; the server id of QUIC-LB). Without I/O and without a clock of its own.
+This requires both ends of a flow to send back a value that a balancer wrote (the cookie of Cheetah,
+NSDI 2020; the server id of QUIC-LB). The package does no I/O and reads no clock.
 """
--- a/src/beamloom/routing/tokens/answer_pace.py
+++ b/src/beamloom/routing/tokens/answer_pace.py
@@ -1,7 +1,7 @@
-"""How long a backend takes to answer, from the flows of one node: a moving average that ages.
+"""Moving average of the answer times of a backend, as one node observes them.
 
-Load as a node sees it tells little where each of many nodes has few requests under way. A backend
-that has become slow shows in its answers, which are compared with those of its service's others.
+In a large fleet each node has few pending requests, so the load that it observes says little. A
+slow backend is recognized by its answer times, compared with those of the other backends.
 """
 
 from __future__ import annotations
@@ -10,73 +10,73 @@
 import math
 from collections.abc import Iterable
 
-NEWEST_SHARE = 0.25
-"""Weight of one answer in the average, once there are a few."""
-SAMPLES_NEEDED = 3
-LEAST_SLOWNESS = 2.0
-"""Answers vary; below this ratio a backend counts as usual."""
-MOST_SLOWNESS = 3.0
+SMOOTHING_FACTOR = 0.25
+"""Minimum weight of a new answer in the moving average."""
+MIN_SAMPLES = 3
+MIN_SLOWDOWN = 2.0
+"""Answer times vary: a backend below this ratio does not count as slow."""
+MAX_SLOWDOWN = 3.0
 HALF_LIFE_SECONDS = 2.0
-"""A backend that gets no requests any more is believed to be slow for so long, half of it."""
+"""Half-life of the slowdown since the last answer, as a slow backend gets few requests."""
 
 
 class AnswerPace:
-    """The answers of one backend; times are in seconds."""
+    """Moving average of the answer times of one backend, in seconds."""
 
-    __slots__ = ("count", "noted_at", "seconds")
+    __slots__ = ("count", "seconds", "updated_at")
 
     def __init__(self) -> None:
         self.seconds = 0.0
         self.count = 0
-        self.noted_at = float("-inf")
+        self.updated_at = float("-inf")
 
     @property
-    def known(self) -> bool:
-        """Whether there were enough answers to tell."""
-        return self.count >= SAMPLES_NEEDED
+    def has_enough_samples(self) -> bool:
+        """Whether the average is based on at least MIN_SAMPLES answers."""
+        return self.count >= MIN_SAMPLES
 
     def note(self, seconds: float, now: float) -> None:
-        """Take the time that one answer took."""
+        """Add the time of one answer to the average."""
         self.count += 1
-        share = max(NEWEST_SHARE, 1 / self.count)
+        share = max(SMOOTHING_FACTOR, 1 / self.count)
         self.seconds += share * (seconds - self.seconds)
-        self.noted_at = now
+        self.updated_at = now
 
-    def slowness(self, typical_seconds: float, now: float) -> float:
-        """Return how many times slower than typical the backend is; 1 where it is not slow."""
-        if not self.known or typical_seconds <= 0:
+    def slowdown(self, typical_seconds: float, now: float) -> float:
+        """Return the factor by which the backend is slower than typical; 1 if it is not slow."""
+        if not self.has_enough_samples or typical_seconds <= 0:
             return 1.0
-        ratio = min(MOST_SLOWNESS, self.seconds / typical_seconds)
-        if ratio < LEAST_SLOWNESS:
+        ratio = min(MAX_SLOWDOWN, self.seconds / typical_seconds)
+        if ratio < MIN_SLOWDOWN:
             return 1.0
-        half_lives = (now - self.noted_at) / HALF_LIFE_SECONDS
+        half_lives = (now - self.updated_at) / HALF_LIFE_SECONDS
         return 1.0 + (ratio - 1.0) * math.pow(0.5, half_lives)
 
 
-class DueAnswers:
-    """Requests without an answer, each with the time at which its answer will be overdue."""
+class AnswerDeadlines:
+    """Deadlines of pending requests."""
 
     def __init__(self) -> None:
-        self._waiting: list[tuple[float, bytes, int]] = []
+        self._deadlines: list[tuple[float, bytes, int]] = []
 
     @property
-    def next_at(self) -> float | None:
-        """When the first of them will be overdue; None without any."""
-        return self._waiting[0][0] if self._waiting else None
+    def next_deadline(self) -> float | None:
+        """The earliest deadline; None without any."""
+        return self._deadlines[0][0] if self._deadlines else None
 
-    def expect(self, due_at: float, key: bytes, sequence: int) -> None:
-        """Wait for the answer to the request of a flow that ends with a sequence number."""
-        heapq.heappush(self._waiting, (due_at, key, sequence))
+    def add(self, due_at: float, key: bytes, sequence: int) -> None:
+        """Add the deadline of a request, identified by its flow and sequence number."""
+        heapq.heappush(self._deadlines, (due_at, key, sequence))
 
-    def take(self, now: float) -> list[tuple[bytes, int]]:
-        """Return once those whose time is over; some may have been answered meanwhile."""
-        taken = []
-        while self._waiting and self._waiting[0][0] <= now:
-            taken.append(heapq.heappop(self._waiting)[1:])
-        return taken
+    def pop_due(self, now: float) -> list[tuple[bytes, int]]:
+        """Remove and return the requests whose deadline has passed, answered ones included."""
+        due = []
+        while self._deadlines and self._deadlines[0][0] <= now:
+            due.append(heapq.heappop(self._deadlines)[1:])
+        return due
 
 
 def typical_seconds(paces: Iterable[AnswerPace]) -> float:
-    """Return the median of the averages that are known, the lower one of two; 0 without any."""
-    known = sorted(pace.seconds for pace in paces if pace.known)
+    """Return the lower median of the averages with enough samples, or 0 without any."""
+    known = sorted(pace.seconds for pace in paces if pace.has_enough_samples)
     return known[(len(known) - 1) // 2] if known else 0.0
--- a/src/beamloom/routing/tokens/backend_fields.py
+++ b/src/beamloom/routing/tokens/backend_fields.py
@@ -1,7 +1,7 @@
-"""Backends from plain values of the store, checked field by field.
+"""Converts store entries to backend records and back, and validates each field.
 
-Anybody may have written an entry. One whose fields are missing, or of another type or range, names
-no backend to use; it must not stop a node, nor cost other entries anything.
+Entries may come from any writer. Missing fields, and values of a wrong type or range, raise
+ValueError, so that the reader of a list can skip the entry and use the others.
 """
 
 from __future__ import annotations
@@ -13,52 +13,52 @@
 from beamloom.units import MILLISECONDS
 
 IDENTITY_LIMIT = 1 << 64
-"""Datagrams name an incarnation in eight bytes (the platform's protocol)."""
+"""Datagrams identify an incarnation by eight bytes (the platform's protocol)."""
 PORT_LIMIT = 1 << 16
 """Ports have 16 bits (RFC 768)."""
-OCTETS = 4
-"""Of an IPv4 address (RFC 791)."""
+OCTET_COUNT = 4
+"""Number of octets of an IPv4 address (RFC 791)."""
 OCTET_LIMIT = 1 << 8
 """An octet has 8 bits."""
-MOST_SLOTS = 1 << 16
-"""More requests at once than any backend runs."""
-LONGEST_WARM_UP_MILLISECONDS = 3_600_000
-"""An hour: what says more is not believed to be a backend's own word."""
-TIME_LIMIT = 1 << 53
-"""Whole numbers up to here are the same to all who write JSON (RFC 8259, 6)."""
+SLOT_LIMIT = 1 << 16
+"""Exceeds the number of concurrent requests of any backend."""
+MAX_WARM_UP_MILLISECONDS = 3_600_000
+"""One hour; longer warm-ups are rejected as implausible."""
+INTEGER_LIMIT = 1 << 53
+"""JSON implementations agree on integers below this (RFC 8259, section 6)."""
 
 
 class BackendFieldError(ValueError):
-    """A field of an entry is not as it should be; who wrote it must correct it."""
+    """A field of a store entry is missing or invalid."""
 
     def __init__(self, field: str, value: object) -> None:
         super().__init__(f"{field} = {value!r:.80}: whoever writes this entry must correct it")
 
 
 def read_backend(name: str, fields: Mapping[str, object]) -> BackendRecord:
-    """Return the backend of these fields, by the names of `BackendRecord`; raises ValueError.
+    """Return the backend with these fields; raises ValueError.
 
-    `address` is `host:port`, times are in milliseconds. `born_at` may be missing: not all say it.
+    `address` is `host:port`; `warm_up` and `born_at` are in milliseconds. `born_at` is optional.
     """
-    host, port = _address(fields)
-    _text(fields, "software")
+    host, port = _read_address(fields)
+    _read_text(fields, "software")
     return BackendRecord(
         name=name,
         identity=identity_of(name),
-        service=_text(fields, "service"),
+        service=_read_text(fields, "service"),
         host=host,
         port=port,
-        zone=_text(fields, "zone"),
-        slots=_whole(fields, "slots", 1, MOST_SLOTS),
-        state=BackendState(_text(fields, "state")),
-        warm_up_seconds=_warm_up(fields),
-        born_at=_whole(fields, "born_at", 0, TIME_LIMIT) if "born_at" in fields else 0,
-        sequence=_whole(fields, "sequence", 0, TIME_LIMIT),
+        zone=_read_text(fields, "zone"),
+        slots=_read_integer(fields, "slots", 1, SLOT_LIMIT),
+        state=BackendState(_read_text(fields, "state")),
+        warm_up_seconds=_read_warm_up(fields),
+        born_at=_read_integer(fields, "born_at", 0, INTEGER_LIMIT) if "born_at" in fields else 0,
+        sequence=_read_integer(fields, "sequence", 0, INTEGER_LIMIT),
     )
 
 
 def plain_backend(record: BackendRecord) -> dict[str, object]:
-    """Return what `read_backend` reads; a start that is not known is left out."""
+    """Return the fields that `read_backend` reads, without `born_at` if it is unknown."""
     values: dict[str, object] = {
         "service": record.service,
         "address": f"{record.host}:{record.port}",
@@ -73,7 +73,7 @@
 
 
 def identity_of(name: str) -> int:
-    """Return the number made of the hex digits of a backend's name; raises ValueError."""
+    """Return the identity in the hex digits at the end of a backend's name; raises ValueError."""
     digits = name.rpartition("-")[2]
     is_number = digits.isalnum() and digits.isascii() and name.isprintable()
     identity = int(digits, 16) if is_number else IDENTITY_LIMIT
@@ -82,42 +82,42 @@
     return identity
 
 
-def _text(fields: Mapping[str, object], field: str) -> str:
-    """Return a text that can be logged and sent to peers; raises BackendFieldError."""
+def _read_text(fields: Mapping[str, object], field: str) -> str:
+    """Return a non-empty printable text, as it is logged and sent; raises BackendFieldError."""
     value = fields.get(field)
     if not isinstance(value, str) or not value or not value.isprintable():
         raise BackendFieldError(field, value)
     return value
 
 
-def _whole(fields: Mapping[str, object], field: str, least: int, limit: int) -> int:
+def _read_integer(fields: Mapping[str, object], field: str, minimum: int, limit: int) -> int:
     value = fields.get(field)
-    if isinstance(value, bool) or not isinstance(value, int) or not least <= value < limit:
+    if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value < limit:
         raise BackendFieldError(field, value)
     return value
 
 
-def _warm_up(fields: Mapping[str, object]) -> float:
-    """Return seconds; whole milliseconds are usual, and fractions are none the worse."""
+def _read_warm_up(fields: Mapping[str, object]) -> float:
+    """Return the warm-up in seconds; fractions of a millisecond are accepted."""
     value = fields.get("warm_up")
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise BackendFieldError("warm_up", value)
-    if not 0 <= value <= LONGEST_WARM_UP_MILLISECONDS:
+    if not 0 <= value <= MAX_WARM_UP_MILLISECONDS:
         raise BackendFieldError("warm_up", value)
     return value / MILLISECONDS
 
 
-def _address(fields: Mapping[str, object]) -> tuple[str, int]:
-    """Return host and port; a host that is not an IPv4 address would have to be looked up."""
-    address = _text(fields, "address")
+def _read_address(fields: Mapping[str, object]) -> tuple[str, int]:
+    """Return host and port; a host name is rejected, as it would require a lookup."""
+    address = _read_text(fields, "address")
     host, _, port = address.rpartition(":")
     octets = host.split(".")
-    is_host = len(octets) == OCTETS and all(_is_number(octet, OCTET_LIMIT) for octet in octets)
+    is_host = len(octets) == OCTET_COUNT and all(_is_number(octet, OCTET_LIMIT) for octet in octets)
     if not is_host or not _is_number(port, PORT_LIMIT) or port == "0":
         raise BackendFieldError("address", address)
     return host, int(port)
 
 
 def _is_number(text: str, limit: int) -> bool:
-    """Whether a text is a whole number below a limit, as it is usually written."""
+    """Whether a text is the canonical decimal form of an integer below a limit."""
     return text.isascii() and text.isdecimal() and text == str(int(text)) and int(text) < limit
--- a/src/beamloom/routing/tokens/cold_starts.py
+++ b/src/beamloom/routing/tokens/cold_starts.py
@@ -1,9 +1,9 @@
-"""How many new flows backends get that have just started and are still cold.
+"""Limits the new flows of backends that have just started and are still cold.
 
-All nodes together may send a cold backend only a few requests in any second, and nobody counts them
-for all. So a cold backend gets nothing while warm ones have room, and otherwise from a few nodes
-only, which the fleet agrees on without a word (`replication/fleet_share.py`), each of which sends a
-part of what is allowed.
+The limit on requests per second applies to all nodes together, and no node counts for the fleet. A
+cold backend therefore gets no flows while warm ones have room. Otherwise only a few nodes open
+flows there, which the fleet selects without messages (`replication/fleet_share.py`), and each of
+them uses a fraction of the limit.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from beamloom.settings.token_node import ColdStartLimits
 
 SENDERS_OF_A_BACKEND = 2
-"""Nodes that may open flows at one cold backend; a second one, as the first may be away."""
+"""Nodes that may open flows at one cold backend; more than one, as the first may be down."""
 DISAGREEMENT_FACTOR = 2
-"""So many times more nodes may take themselves for one of these while views of the fleet differ."""
+"""While views of the fleet differ, up to this factor more nodes may count themselves as senders."""
 WINDOW_SECONDS = 1.2
-"""The rule counts any second; the rest is for openings that are under way for different times."""
+"""The limit applies to any second; the rest allows for different delays of opening packets."""
 
 
 class ColdStartGate:
-    """The new flows of one node at cold backends.
+    """Limits the flows that one node opens at cold backends.
 
-    `is_sender` tells whether this node is one of the few that may open flows at the backend of an
-    identity, at a moment.
+    `is_sender` returns whether this node is one of the few that may open flows at the backend of an
+    identity, at a given time.
     """
 
     def __init__(self, limits: ColdStartLimits) -> None:
@@ -37,7 +37,7 @@
         self._opened: dict[str, deque[float]] = {}
 
     def use_rates(self, warm_ups: Iterable[ServiceWarmUp]) -> None:
-        """Obey these rates from now on."""
+        """Set the request rate that a cold backend of each service may get."""
         self._rates = {warm_up.service: warm_up.requests_per_second for warm_up in warm_ups}
 
     def allows(self, backend: Backend, now: float) -> bool:
@@ -52,7 +52,7 @@
         self._opened.setdefault(backend.record.name, deque()).append(now)
 
     def _quota(self, service: str) -> int:
-        """Return how many openings of this node a cold backend may get in a window."""
+        """Return how many flows this node may open at a cold backend within WINDOW_SECONDS."""
         rate = self._rates.get(service, 0.0)
         allowed = rate * self._limits.excess_factor + self._limits.slack_requests
         return int(allowed / (SENDERS_OF_A_BACKEND * DISAGREEMENT_FACTOR))
--- a/src/beamloom/routing/tokens/configuration_history.py
+++ b/src/beamloom/routing/tokens/configuration_history.py
@@ -1,9 +1,9 @@
-"""Versions of the configuration as differences, so that a change costs what has changed.
+"""Keeps recent configuration versions, so that changes can be sent as differences.
 
-A configuration of a thousand routes is some 100 KB, and most versions touch one route. A node keeps
-the last versions that it had, by the operators' numbers: a restored store gives its revisions out
-again, and a difference to another base would be another configuration. Peers that hold one of them
-get the difference, all others the whole.
+A configuration of a thousand routes has some 100 KB, and most versions change one route. Peers that
+hold one of the kept versions get a difference, others the whole configuration. Versions are
+identified by the operators' numbers, as a restored store reuses its revisions, and a difference
+applied to another base would give another configuration.
 """
 
 from __future__ import annotations
@@ -12,15 +12,14 @@
 
 from beamloom.routing.tokens.records import RouteRecord, RoutingConfiguration, ServiceWarmUp
 
-VERSIONS_KEPT = 32
-"""More than change within the seconds in which a node hears of them."""
+MAX_KEPT_VERSIONS = 32
+"""Exceeds the number of changes within the seconds in which a version reaches all nodes."""
 
 
 class ConfigurationDifference(NamedTuple):
-    """What leads from one version to another.
+    """Difference from one version to another.
 
-    `changed` routes take the place of those of their names, in that order; names that are new come
-    behind all others.
+    `changed` routes replace those of the same names in their places; new ones are appended.
     """
 
     version: int
@@ -34,7 +33,7 @@
 def difference_between(
     base: RoutingConfiguration, target: RoutingConfiguration
 ) -> ConfigurationDifference | None:
-    """Return what leads to the target, or None where no difference leads exactly there."""
+    """Return the difference to the target, or None if no difference gives exactly the target."""
     before = {route.name: route for route in base.routes}
     names = {route.name for route in target.routes}
     difference = ConfigurationDifference(
@@ -51,7 +50,7 @@
 def apply_difference(
     base: RoutingConfiguration, difference: ConfigurationDifference
 ) -> RoutingConfiguration:
-    """Return the configuration that a difference leads to."""
+    """Return the configuration that results from a difference."""
     routes = {route.name: route for route in base.routes}
     for name in difference.removed:
         routes.pop(name, None)
@@ -67,7 +66,7 @@
 
 
 class ConfigurationHistory:
-    """The last versions that a node had."""
+    """The last versions of the configuration at one node."""
 
     def __init__(self) -> None:
         self._versions: dict[int, RoutingConfiguration] = {}
@@ -78,30 +77,30 @@
         return max(self._versions, default=None)
 
     def newest_versions(self, count: int) -> list[int]:
-        """Return so many versions, the newest first."""
+        """Return up to `count` versions, the newest first."""
         return sorted(self._versions, reverse=True)[:count]
 
     def note(self, configuration: RoutingConfiguration) -> None:
-        """Keep a version; routes that it shares with the one before are kept once."""
+        """Keep a version; routes that it has in common with the newest one are stored once."""
         newest = self.newest_version
         if newest is not None:
-            configuration = _sharing_routes(configuration, self._versions[newest])
+            configuration = _with_shared_routes(configuration, self._versions[newest])
         self._versions[configuration.version] = configuration
-        while len(self._versions) > VERSIONS_KEPT:
+        while len(self._versions) > MAX_KEPT_VERSIONS:
             del self._versions[min(self._versions)]
 
     def find(self, version: int) -> RoutingConfiguration | None:
-        """Return a version, if it is held."""
+        """Return a version, or None if it is not kept."""
         return self._versions.get(version)
 
 
-def _sharing_routes(
+def _with_shared_routes(
     configuration: RoutingConfiguration, other: RoutingConfiguration
 ) -> RoutingConfiguration:
     known = {route.name: route for route in other.routes}
-    routes = tuple(_same_or_new(known.get(route.name), route) for route in configuration.routes)
+    routes = tuple(_reuse_if_equal(known.get(route.name), route) for route in configuration.routes)
     return configuration._replace(routes=routes)
 
 
-def _same_or_new(known: RouteRecord | None, route: RouteRecord) -> RouteRecord:
+def _reuse_if_equal(known: RouteRecord | None, route: RouteRecord) -> RouteRecord:
     return known if known is not None and known == route else route
--- a/src/beamloom/routing/tokens/decisions.py
+++ b/src/beamloom/routing/tokens/decisions.py
@@ -1,18 +1,18 @@
-"""What the token router decided and why, for logs; only openings, refusals and drops are told."""
+"""Decisions of the token router, for logs: openings, refusals, drops and missing answers."""
 
 from typing import NamedTuple
 
 from beamloom.routing.tokens.packets import DropReason, RefusalReason
-from beamloom.routing.tokens.records import ORDINARY_PRIORITY
+from beamloom.routing.tokens.records import DEFAULT_PRIORITY
 
 
 class FlowPlaced(NamedTuple):
-    """A backend was chosen for an opening packet (`copies` were sent before this one).
+    """A backend was chosen for an opening packet, of which `copies` were sent before.
 
-    `candidates` backends of `service` were listed, `load` is this node's own view of the chosen
-    one: requests under way and openings not yet answered. `answer_seconds` is how long its answers
-    took on average, 0 before the first. It was `doubted` if requests that may not run twice were to
-    keep away; `repeatable` and `priority` are the route's.
+    `candidates` counts the known backends of `service`, including gone ones. `load` is the number
+    of pending requests and unanswered openings that this node observed at the backend,
+    `answer_seconds` the average of its answer times (0 before the first). With `doubted`, flows
+    whose requests must not run twice should avoid it. `repeatable` and `priority` are the route's.
     """
 
     flow: bytes
@@ -28,14 +28,14 @@
     answer_seconds: float = 0.0
     doubted: bool = False
     repeatable: bool = False
-    priority: int = ORDINARY_PRIORITY
+    priority: int = DEFAULT_PRIORITY
 
 
 class FlowRefused(NamedTuple):
-    """A packet was answered with a reset.
+    """A flow was refused or ended by a reset.
 
-    `services` are those of the packet's route, `known` is how many of their backends this node has
-    heard of, draining and gone ones among them.
+    `services` are those of the packet's route, and `known` counts their known backends, including
+    draining and gone ones. If a flow ends without a packet, they are its backend's service and 0.
     """
 
     flow: bytes
@@ -47,7 +47,7 @@
 
 
 class PacketDropped(NamedTuple):
-    """A packet was dropped; `token` is what it carried."""
+    """A packet was dropped; `token` is its token."""
 
     flow: bytes
     reason: DropReason
@@ -56,7 +56,7 @@
 
 
 class OpeningUnanswered(NamedTuple):
-    """A backend did not answer an opening; `failures` in a row by now."""
+    """A backend did not answer an opening; `failures` counts unanswered openings in a row."""
 
     flow: bytes
     backend: str
@@ -65,9 +65,9 @@
 
 
 class RequestStalled(NamedTuple):
-    """A client has sent the same data `repeats` times again, for `seconds`, without an answer.
+    """A client has repeated a request `repeats` times within `seconds`, without an answer.
 
-    `stalled` requests of that backend are in this state at this node.
+    `stalled` counts such requests of the backend at this node.
     """
 
     flow: bytes
--- a/src/beamloom/routing/tokens/flow_observer.py
+++ b/src/beamloom/routing/tokens/flow_observer.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from beamloom.routing.tokens.answer_pace import DueAnswers
+from beamloom.routing.tokens.answer_pace import AnswerDeadlines
 from beamloom.routing.tokens.answer_sizes import AnswerSizes
 from beamloom.routing.tokens.backend_table import Backend
 from beamloom.routing.tokens.decisions import Decision, OpeningUnanswered, RequestStalled
@@ -122,7 +122,7 @@
         self.on_overdue: Callable[[Backend, float], None] = lambda backend, now: None
         self.find_patience: Callable[[bytes], float | None] = lambda destination: None
         self._sizes = AnswerSizes()
-        self._answer_deadlines = DueAnswers()
+        self._answer_deadlines = AnswerDeadlines()
         self.on_suspicion: Callable[[Backend, Suspicion, float], None] = lambda *_: None
         self._on_decision = on_decision
         self.idle_seconds = 15.0
@@ -159,8 +159,8 @@
         """Return when `advance` has the next opening or request to check, or None."""
         queues = (self._opening_checks, self._opening_timeouts, self._request_checks)
         times = [waiting[0][0] for waiting in queues if waiting]
-        if self._answer_deadlines.next_at is not None:
-            times.append(self._answer_deadlines.next_at)
+        if self._answer_deadlines.next_deadline is not None:
+            times.append(self._answer_deadlines.next_deadline)
         return min(times, default=None)
 
     def note_opening(self, key: bytes, backend: Backend, now: float) -> None:
@@ -224,7 +224,7 @@
                 self._note_unanswered(key, flow, now)
         while self._request_checks and self._request_checks[0][0] <= now:
             self._check_request(*self._request_checks.popleft()[1:], now)
-        for key, sequence in self._answer_deadlines.take(now):
+        for key, sequence in self._answer_deadlines.pop_due(now):
             self._check_overdue(key, sequence, now)
         while self._idle_deadlines and self._idle_deadlines[0][0] <= now:
             _, key = self._idle_deadlines.popleft()
@@ -320,7 +320,7 @@
             return
         self.on_suspicion(flow.backend, Suspicion.QUIET_REQUEST, now)
         if flow.due_at is not None:
-            self._answer_deadlines.expect(flow.due_at, key, sequence)
+            self._answer_deadlines.add(flow.due_at, key, sequence)
 
     def _check_overdue(self, key: bytes, sequence: int, now: float) -> None:
         """Report a backend that has not answered a request by its deadline."""
--- a/src/beamloom/routing/tokens/packets.py
+++ b/src/beamloom/routing/tokens/packets.py
@@ -1,11 +1,11 @@
-"""A client's packet as a token router reads it, and what the router answers."""
+"""Packets of clients, and the commands that the token router returns for them."""
 
 from enum import Enum
 from typing import NamedTuple
 
 
 class PacketKind(Enum):
-    """What a packet does to its flow."""
+    """Effect of a packet on its flow."""
 
     OPEN = "open"
     DATA = "data"
@@ -28,8 +28,8 @@
 class RefusalReason(Enum):
     """Why a flow was answered with a reset.
 
-    Two are for flows that were open, which their backend cannot hold any more: BACKEND_ENDED, as
-    its address has passed on, and BACKEND_DOWN, as a check found it dead.
+    Two are for open flows that their backend no longer holds: BACKEND_ENDED, as a later incarnation
+    has its address, and BACKEND_DOWN, as a check found it dead.
     """
 
     NO_ROUTE = "no_route"
@@ -65,10 +65,10 @@
 
 
 class ResetFlow(NamedTuple):
-    """Tell a client at once that its flow was not opened, or that its backend has ended.
+    """Reset a flow that was not opened, or whose backend is dead.
 
-    `flow` is its 4-tuple as in `ClientPacket`, `sequence` what the client expects next of its
-    backend.
+    `flow` is its 4-tuple as in `ClientPacket`, `sequence` the number that the client expects next
+    from its backend.
     """
 
     flow: bytes
@@ -77,7 +77,7 @@
 
 
 class DropPacket(NamedTuple):
-    """Do nothing: silence breaks no open flow."""
+    """Send nothing, which does not break a flow that may be open."""
 
     packet: ClientPacket
     reason: DropReason
--- a/src/beamloom/routing/tokens/placement.py
+++ b/src/beamloom/routing/tokens/placement.py
@@ -221,7 +221,7 @@
         if settings.weighs_load:
             load = backend.pending + backend.busy + settings.open_flow_load * backend.open
         capacity = float(max(1, backend.record.slots))
-        capacity /= backend.pace.slowness(typical_seconds, now)
+        capacity /= backend.pace.slowdown(typical_seconds, now)
         cost = (load + 1.0) / capacity
         if backend.record.zone != self._zone:
             cost += settings.other_zone_surcharge
--- a/src/beamloom/routing/tokens/records.py
+++ b/src/beamloom/routing/tokens/records.py
@@ -1,4 +1,4 @@
-"""What a token router is told: backends, routes and the configuration in force."""
+"""Records that a token router receives: backends, routes and the configuration."""
 
 from __future__ import annotations
 
@@ -13,20 +13,19 @@
 
 
 class BackendState(Enum):
-    """What a backend says of itself."""
+    """State that a backend reports."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class BackendRecord(NamedTuple):
-    """One incarnation of a backend as it stands in the store.
+    """One incarnation of a backend as it is stored.
 
-    `identity` is the number (64 bits) by which datagrams name the incarnation. `slots` is how many
-    requests it runs at once. `warm_up_seconds` is how much longer it is slow, from its start on.
-    `born_at` is when it started (Unix time in milliseconds, 0 where it does not say so): one that
-    starts anew under its name is another that knows nothing of before. `sequence` counts what it
-    has written since; writing alone does not change its entry.
+    `identity` is the 64-bit number by which datagrams identify the incarnation. `slots` is the
+    number of requests that it processes concurrently. `warm_up_seconds` is how much longer it is
+    cold. `born_at` is its start time (Unix time in milliseconds, 0 if not reported); a restart
+    under the same name is another incarnation. `sequence` counts its writes since the start.
     """
 
     name: str
@@ -43,13 +42,13 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it takes datagrams, in the form that sockets take."""
+        """Address for its datagrams, as sockets expect it."""
         return (self.host, self.port)
 
     def tells_same(self, other: BackendRecord) -> bool:
-        """Whether another entry tells the same; how often each was written does not count.
+        """Whether another record has the same content, apart from `sequence`.
 
-        A cold backend that says again how long it stays cold may have turned cold anew.
+        With a warm-up, `sequence` counts too: a repeated report may be of a new warm-up.
         """
         if self.warm_up_seconds and self.sequence != other.sequence:
             return False
@@ -57,9 +56,9 @@
 
 
 class RequestKind(Enum):
-    """What may become of a request that is left without an answer.
+    """Kind of a route's requests.
 
-    Only a SAFE one may run twice; a DOWNLOAD has a long answer.
+    Only SAFE requests may run twice; a DOWNLOAD has a long answer.
     """
 
     UNSAFE = "unsafe"
@@ -67,49 +66,49 @@
     DOWNLOAD = "download"
 
 
-ORDINARY_PRIORITY = 2
-"""That of a route which names none: no room is reserved for it. Most routes have it."""
+DEFAULT_PRIORITY = 2
+"""Priority of routes that specify none; no slots are reserved for it."""
 
 
 class RouteTerms(NamedTuple):
-    """What is promised for the requests of a route, in whole milliseconds; None: nothing is.
+    """Service levels of a route's requests; times are whole milliseconds, or None if not set.
 
-    Answers are due within `objective_seconds`; after `timeout_seconds` the client waits no longer.
-    Priority 0 is the highest. `unreadable` names the fields whose values could not be read, so that
-    they have their defaults.
+    Answers are due within `objective_seconds`, and clients give up after `timeout_seconds`.
+    Priority 0 is the highest. `unreadable` names the fields that have their defaults because their
+    values could not be read.
     """
 
     objective_seconds: float | None = None
     timeout_seconds: float | None = None
-    priority: int = ORDINARY_PRIORITY
+    priority: int = DEFAULT_PRIORITY
     kind: RequestKind = RequestKind.UNSAFE
     unreadable: tuple[str, ...] = ()
 
     @property
     def repeatable(self) -> bool:
-        """Whether a client may send a request again that may have run."""
+        """Whether a request that may have run may be sent again."""
         return self.kind is RequestKind.SAFE
 
 
 DEFAULT_TERMS = RouteTerms()
-"""Of a route whose terms are not known: the cautious ones."""
+"""Terms of a route for which none are known."""
 
 
 def read_terms(values: Mapping[str, object]) -> RouteTerms:
-    """Return terms from plain values by field, times in milliseconds; missing ones are defaults."""
+    """Return terms from plain values by field, times in milliseconds; missing ones get defaults."""
     fields: dict[str, Any] = {}
     unreadable = []
     for field, value in values.items():
         try:
             fields[field] = _TERM_READERS[field](value)
         except (TypeError, ValueError):
-            # Not swallowed: a node counts and logs the names when it puts the route in force.
+            # The node counts and logs unreadable fields when it activates the configuration.
             unreadable.append(field)
     return RouteTerms(**fields, unreadable=tuple(unreadable))
 
 
 def plain_terms(terms: RouteTerms) -> dict[str, object]:
-    """Return what `read_terms` reads; what is not promised is left out."""
+    """Return the values that `read_terms` reads; times that are not set are omitted."""
     values: dict[str, object] = {"kind": terms.kind.value, "priority": terms.priority}
     if terms.timeout_seconds is not None:
         values["timeout_seconds"] = round(terms.timeout_seconds * MILLISECONDS)
@@ -118,28 +117,28 @@
     return values
 
 
-def _whole_seconds(milliseconds: object) -> float:
-    """Return seconds in whole milliseconds, one at least; raises TypeError or ValueError."""
+def _read_milliseconds(milliseconds: object) -> float:
+    """Return seconds from at least one whole millisecond; raises TypeError or ValueError."""
     if isinstance(milliseconds, bool) or not isinstance(milliseconds, int | float):
-        raise TypeError(f"{milliseconds!r} is no number")
+        raise TypeError(f"{milliseconds!r} is not a number")
     if not math.isfinite(milliseconds) or round(milliseconds) < 1:
-        raise ValueError(f"{milliseconds!r} is no time")
+        raise ValueError(f"{milliseconds!r} is not a positive time")
     return round(milliseconds) / MILLISECONDS
 
 
 def _read_priority(value: object) -> int:
     """Return a priority; raises TypeError or ValueError."""
     if isinstance(value, bool) or not isinstance(value, int):
-        raise TypeError(f"{value!r} is no whole number")
+        raise TypeError(f"{value!r} is not an integer")
     if value < 0:
-        raise ValueError(f"{value!r} is below 0, the highest")
+        raise ValueError(f"{value!r} is below 0, the highest priority")
     return value
 
 
 _TERM_READERS: dict[str, Callable[[Any], object]] = {
     "kind": RequestKind,
-    "timeout_seconds": _whole_seconds,
-    "objective_seconds": _whole_seconds,
+    "timeout_seconds": _read_milliseconds,
+    "objective_seconds": _read_milliseconds,
     "priority": _read_priority,
 }
 
@@ -152,7 +151,7 @@
 
 
 class RouteRecord(NamedTuple):
-    """Where new flows to one destination go. `destination` is address and port as in packets."""
+    """Route of new flows to one destination: an address and port, as in packets."""
 
     name: str
     destination: bytes
@@ -161,13 +160,13 @@
 
 
 class ZoneEvacuation(NamedTuple):
-    """An operator's request that backends of a zone get no new flows, for as long as it stands."""
+    """An operator's request to exclude a zone from new flows, which holds while it is stored."""
 
     zone: str
 
 
 class ServiceWarmUp(NamedTuple):
-    """How backends of a service start: cold for `seconds`, when each bears so many requests."""
+    """Warm-up of a service's backends: its length, and the request rate of a cold backend."""
 
     service: str
     seconds: float
@@ -175,9 +174,9 @@
 
 
 class RoutingConfiguration(NamedTuple):
-    """One version of the routes. A flow that rests for `idle_seconds` may be forgotten.
+    """One version of the routes. A flow that is idle for `idle_seconds` may be forgotten.
 
-    Without `tells_terms` it came by way of a node that does not know the terms of routes.
+    Without `tells_terms`, it came through a node of a release without terms of routes.
     """
 
     version: int
@@ -188,12 +187,12 @@
 
     @property
     def services(self) -> frozenset[str]:
-        """All services that it names."""
+        """All services of its routes and warm-ups."""
         routed = (part.service for route in self.routes for part in route.parts)
         return frozenset(routed) | {warm_up.service for warm_up in self.warm_ups}
 
     def services_of_priority(self, priority: int) -> frozenset[str]:
-        """Return the services to which routes of a priority lead."""
+        """Return the services of the routes of a priority."""
         return frozenset(
             part.service
             for route in self.routes
--- a/src/beamloom/routing/tokens/token.py
+++ b/src/beamloom/routing/tokens/token.py
@@ -1,12 +1,12 @@
-"""Routing tokens: 32 bits that name the backend of one flow and prove who chose it.
+"""Routing tokens: 32 bits that identify the backend of a flow and authenticate its choice.
 
     bits 31..20  bucket: a hash of the backend's identity, to find it among thousands
     bits 19..0   keyed hash of the flow's 4-tuple and the identity (BLAKE2b, RFC 7693)
 
-Every node has the same key, so each can decode what another minted. A client that makes one up
-meets a backend's 20 bits once in a million tries, and only for a flow that backend does not hold. A
-token that verifies was minted by a node whose configuration allowed that backend's service, so a
-node that started after a route changed needs no history of the routes to carry the flow on.
+All nodes have the same key, so each can verify tokens that another one minted. A forged token
+matches a backend's 20 bits with a probability of one in a million, and that backend does not hold
+the flow. A valid token was minted by a node whose configuration allowed the backend's service, so
+a node that starts after a route change forwards the flow without knowing earlier routes.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     from beamloom.routing.tokens.backend_table import Backend
 
 NO_TOKEN = 0
-"""What an opening packet carries; never the token of a backend."""
+"""Token of an opening packet; never the token of a backend."""
 KEY_BYTES = 16
 
 BUCKET_SHIFT = 20
@@ -32,25 +32,26 @@
 
 
 def bucket_of_identity(identity: int) -> int:
-    """Return the bucket in which tokens of a backend lie."""
+    """Return the bucket of a backend's tokens."""
     return ((identity * _GOLDEN_RATIO_64) & _IDENTITY_MASK) >> _BUCKET_HASH_SHIFT
 
 
 def bucket_of_token(token: int) -> int:
-    """Return the bucket that a token names."""
+    """Return the bucket in a token."""
     return token >> BUCKET_SHIFT
 
 
 class TokenCodec:
-    """Mints tokens under the first key, of KEY_BYTES bytes, and verifies those of all.
+    """Mints tokens with `key`, of KEY_BYTES bytes, and verifies them with `older_keys` too.
 
-    More than one are known where a restored store had lost the first: flows of its time go on.
-    `binds_flows` is off only to measure what it costs: the proof then tells the backend alone.
+    Flows that were opened before the key changed, as after the restore of a store that had lost it,
+    remain valid. `binds_flows` is switched off only to measure its cost: the hash then covers the
+    backend's identity only.
     """
 
-    def __init__(self, key: bytes, *former: bytes, binds_flows: bool = True) -> None:
+    def __init__(self, key: bytes, *older_keys: bytes, binds_flows: bool = True) -> None:
         self._key = key
-        self._keys = (key, *former)
+        self._keys = (key, *older_keys)
         self._binds_flows = binds_flows
 
     def mint(self, flow: bytes, identity: int) -> int:
@@ -66,7 +67,7 @@
         return (bucket_of_identity(identity) << BUCKET_SHIFT | proof) or 1
 
     def find(self, flow: bytes, token: int, candidates: Collection[Backend]) -> Backend | None:
-        """Return the one of the candidates that the token was minted for."""
+        """Return the candidate that the token was minted for, or None."""
         for key in self._keys:
             for backend in candidates:
                 if self._mint(key, flow, backend.record.identity) == token:
--- a/tests/unit/tokens/test_answer_pace.py
+++ b/tests/unit/tokens/test_answer_pace.py
@@ -4,8 +4,8 @@
 
 from beamloom.routing.tokens.answer_pace import (
     HALF_LIFE_SECONDS,
-    MOST_SLOWNESS,
-    SAMPLES_NEEDED,
+    MAX_SLOWDOWN,
+    MIN_SAMPLES,
     AnswerPace,
     typical_seconds,
 )
@@ -26,18 +26,18 @@
 
 class AnswerPaceTest(unittest.TestCase):
     def test_a_few_answers_tell_nothing(self) -> None:
-        pace = pace_of(*[1.0] * (SAMPLES_NEEDED - 1))
-        self.assertEqual(pace.slowness(USUAL_SECONDS, 0.0), 1.0)
+        pace = pace_of(*[1.0] * (MIN_SAMPLES - 1))
+        self.assertEqual(pace.slowdown(USUAL_SECONDS, 0.0), 1.0)
 
     def test_answers_that_vary_as_usual_are_not_slow(self) -> None:
         pace = pace_of(0.03, 0.08, 0.06, 0.04, 0.09)
-        self.assertEqual(pace.slowness(USUAL_SECONDS, 0.0), 1.0)
+        self.assertEqual(pace.slowdown(USUAL_SECONDS, 0.0), 1.0)
 
     def test_slowness_is_bounded_and_ages(self) -> None:
         pace = pace_of(*[10 * USUAL_SECONDS] * 5)
-        self.assertEqual(pace.slowness(USUAL_SECONDS, 0.0), MOST_SLOWNESS)
-        later = pace.slowness(USUAL_SECONDS, HALF_LIFE_SECONDS)
-        self.assertAlmostEqual(later, 1.0 + (MOST_SLOWNESS - 1.0) / 2)
+        self.assertEqual(pace.slowdown(USUAL_SECONDS, 0.0), MAX_SLOWDOWN)
+        later = pace.slowdown(USUAL_SECONDS, HALF_LIFE_SECONDS)
+        self.assertAlmostEqual(later, 1.0 + (MAX_SLOWDOWN - 1.0) / 2)
 
     def test_the_typical_one_is_the_median_of_those_known(self) -> None:
         slow = pace_of(*[1.0] * 5)
@@ -53,7 +53,7 @@
         self.near, *self.far = self.router.backends.of_service("tracker")
 
     def let_answer(self, held: Backend, seconds: float) -> None:
-        for _ in range(SAMPLES_NEEDED):
+        for _ in range(MIN_SAMPLES):
             held.pace.note(seconds, 0.0)
 
     def chosen(self, router: TokenRouter) -> int:
--- a/tests/unit/tokens/test_error_answers.py
+++ b/tests/unit/tokens/test_error_answers.py
@@ -4,7 +4,7 @@
 import unittest
 
 from beamloom.protocol.view_messages import ViewDigest
-from beamloom.routing.tokens.answer_sizes import ANSWERS_NEEDED, AnswerSizes
+from beamloom.routing.tokens.answer_sizes import MIN_ANSWERS, AnswerSizes
 from beamloom.routing.tokens.backend_table import MAX_FAILING_FRACTION
 from beamloom.routing.tokens.packets import ForwardPacket
 from beamloom.routing.tokens.placement import MIN_UNDOUBTED_FRACTION
@@ -42,7 +42,7 @@
         self.assertTrue(self.sizes.note(DESTINATION, ERROR_BYTES))
 
     def test_a_new_node_judges_nothing(self) -> None:
-        self.usual(ANSWERS_NEEDED - 2)
+        self.usual(MIN_ANSWERS - 2)
         self.assertFalse(self.sizes.note(DESTINATION, ERROR_BYTES))
 
     def test_usual_answers_hardly_ever_count_as_short(self) -> None:
--- a/tests/unit/tokens/test_route_terms.py
+++ b/tests/unit/tokens/test_route_terms.py
@@ -20,8 +20,8 @@
     difference_between,
 )
 from beamloom.routing.tokens.records import (
+    DEFAULT_PRIORITY,
     DEFAULT_TERMS,
-    ORDINARY_PRIORITY,
     RequestKind,
     RouteTerms,
     RoutingConfiguration,
@@ -79,7 +79,7 @@
         page = store_objects.read_page(_json(body), 1, store_objects.translate_configuration)
         self.assertEqual((len(page.records), page.unreadable), (1, ()))
         record = page.records[0].record
-        terms = TERMS._replace(priority=ORDINARY_PRIORITY, unreadable=("priority",))
+        terms = TERMS._replace(priority=DEFAULT_PRIORITY, unreadable=("priority",))
         self.assertEqual(record.routes[0].terms, terms)
         changes = store_encoding.encode_changes(
             [(False, store_encoding.encode_object("main", 6, 1, entry))], 6
