--- a/tests/unit/tokens/builders.py
+++ b/tests/unit/tokens/builders.py
@@ -1,4 +1,4 @@
-"""Records and packets for tests of the token router."""
+"""Records, packets, routers and cores for tests of the token router."""
 
 import random
 from collections.abc import Iterable
@@ -73,7 +73,7 @@
 
 
 def put_terms_in_force(core: TokenCore, terms: RouteTerms) -> None:
-    """Let the next version of the configuration of `make_core` change the terms of its route."""
+    """Activate a next version of the configuration of `make_core` with these terms."""
     core.router.put_in_force(with_terms(core.router.routes.version + 1, terms))
 
 
@@ -127,10 +127,10 @@
     decisions: list[Decision] | None = None,
     seed: int = 1,
 ) -> TokenRouter:
-    """Return a router that knows the backends and routes DESTINATION to the services."""
-    heard: list[Decision] = [] if decisions is None else decisions
+    """Return a router with these backends and a route from DESTINATION to the services."""
+    recorded: list[Decision] = [] if decisions is None else decisions
     placement = Placement(ZONE, settings or PlacementSettings(), random.Random(seed))
-    router = TokenRouter(placement, heard.append)
+    router = TokenRouter(placement, recorded.append)
     router.codec = TokenCodec(KEY)
     router.put_in_force(configuration(version, *services))
     for revision, record in enumerate(records):
@@ -150,7 +150,7 @@
     evacuate_seconds: float | None = None,
     cold_starts: ColdStartLimits | None = None,
 ) -> TokenCore:
-    """Return a core that has just started; it follows evacuations where there is a bound."""
+    """Return a core that has just started; with `evacuate_seconds`, it follows evacuations."""
     evacuation_times = None
     if evacuate_seconds is not None:
         evacuation_times = evacuation_reading_times(evacuate_seconds)
@@ -168,7 +168,7 @@
 
 
 def settled_share(host: str, hosts: Iterable[str], count: int) -> FleetShare:
-    """Return the share of a node that has long known these hosts."""
+    """Return the share of a node that joined these hosts long ago."""
     peers = PeerTable(host, (), random.Random(1))
     for other in hosts:
         peers.note(other, 0.0, 0.0)
@@ -176,7 +176,7 @@
 
 
 def make_core(mechanisms: Mechanisms, *records: BackendRecord) -> TokenCore:
-    """Return a core that knows the backends and routes DESTINATION, neither confirmed."""
+    """Return a core with the backends and a route for DESTINATION, both not confirmed yet."""
     core = new_core(mechanisms)
     core.use_key(KEY)
     core.backends.replace([NamedRecord(record.name, 3, record) for record in records], 9)
@@ -188,5 +188,5 @@
 
 
 def make_change(revision: int, record: RoutingConfiguration) -> ObjectChange[RoutingConfiguration]:
-    """Return a new version of the configuration as the store tells it."""
+    """Return a new version of the configuration as a change of the store."""
     return ObjectChange("main", revision, record)
--- a/tests/unit/tokens/test_answer_pace.py
+++ b/tests/unit/tokens/test_answer_pace.py
@@ -1,4 +1,4 @@
-"""How long backends take to answer, and what placement makes of it."""
+"""Average answer times of backends, and their effect on placement."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 from beamloom.routing.tokens.router import TokenRouter
 from tests.unit.tokens.builders import backend, make_router, opening, packet
 
-USUAL_SECONDS = 0.05
+TYPICAL_SECONDS = 0.05
 
 
 def pace_of(*seconds: float, now: float = 0.0) -> AnswerPace:
@@ -25,25 +25,25 @@
 
 
 class AnswerPaceTest(unittest.TestCase):
-    def test_a_few_answers_tell_nothing(self) -> None:
+    def test_few_answers_give_no_slowdown(self) -> None:
         pace = pace_of(*[1.0] * (MIN_SAMPLES - 1))
-        self.assertEqual(pace.slowdown(USUAL_SECONDS, 0.0), 1.0)
+        self.assertEqual(pace.slowdown(TYPICAL_SECONDS, 0.0), 1.0)
 
-    def test_answers_that_vary_as_usual_are_not_slow(self) -> None:
+    def test_normal_variation_is_not_slow(self) -> None:
         pace = pace_of(0.03, 0.08, 0.06, 0.04, 0.09)
-        self.assertEqual(pace.slowdown(USUAL_SECONDS, 0.0), 1.0)
+        self.assertEqual(pace.slowdown(TYPICAL_SECONDS, 0.0), 1.0)
 
-    def test_slowness_is_bounded_and_ages(self) -> None:
-        pace = pace_of(*[10 * USUAL_SECONDS] * 5)
-        self.assertEqual(pace.slowdown(USUAL_SECONDS, 0.0), MAX_SLOWDOWN)
-        later = pace.slowdown(USUAL_SECONDS, HALF_LIFE_SECONDS)
+    def test_slowdown_is_bounded_and_decays(self) -> None:
+        pace = pace_of(*[10 * TYPICAL_SECONDS] * 5)
+        self.assertEqual(pace.slowdown(TYPICAL_SECONDS, 0.0), MAX_SLOWDOWN)
+        later = pace.slowdown(TYPICAL_SECONDS, HALF_LIFE_SECONDS)
         self.assertAlmostEqual(later, 1.0 + (MAX_SLOWDOWN - 1.0) / 2)
 
-    def test_the_typical_one_is_the_median_of_those_known(self) -> None:
+    def test_the_typical_time_is_the_median_of_the_known_averages(self) -> None:
         slow = pace_of(*[1.0] * 5)
-        usual = [pace_of(*[USUAL_SECONDS] * 5) for _ in range(2)]
-        self.assertEqual(typical_seconds([slow, *usual, AnswerPace()]), USUAL_SECONDS)
-        self.assertEqual(typical_seconds([slow, usual[0]]), USUAL_SECONDS)
+        usual = [pace_of(*[TYPICAL_SECONDS] * 5) for _ in range(2)]
+        self.assertEqual(typical_seconds([slow, *usual, AnswerPace()]), TYPICAL_SECONDS)
+        self.assertEqual(typical_seconds([slow, usual[0]]), TYPICAL_SECONDS)
         self.assertEqual(typical_seconds([AnswerPace()]), 0.0)
 
 
@@ -52,7 +52,7 @@
         self.router = make_router(backend(1), backend(2, zone="far"), backend(3, zone="far"))
         self.near, *self.far = self.router.backends.of_service("tracker")
 
-    def let_answer(self, held: Backend, seconds: float) -> None:
+    def record_answers(self, held: Backend, seconds: float) -> None:
         for _ in range(MIN_SAMPLES):
             held.pace.note(seconds, 0.0)
 
@@ -61,21 +61,21 @@
         assert isinstance(command, ForwardPacket)
         return command.identity
 
-    def test_new_flows_pass_over_a_slow_backend_of_the_own_zone(self) -> None:
+    def test_new_flows_avoid_a_slow_backend_in_the_own_zone(self) -> None:
         for held in self.far:
-            self.let_answer(held, USUAL_SECONDS)
-        self.let_answer(self.near, 6 * USUAL_SECONDS)
+            self.record_answers(held, TYPICAL_SECONDS)
+        self.record_answers(self.near, 6 * TYPICAL_SECONDS)
         self.assertIn(self.chosen(self.router), (2, 3))
 
-    def test_one_that_warms_up_is_judged_by_its_pace_alone(self) -> None:
-        for near_seconds, expected in ((USUAL_SECONDS, 1), (6 * USUAL_SECONDS, 2)):
+    def test_a_backend_in_warm_up_is_compared_by_answer_times_only(self) -> None:
+        for near_seconds, expected in ((TYPICAL_SECONDS, 1), (6 * TYPICAL_SECONDS, 2)):
             router = make_router(backend(1, warm_up=5.0), backend(2, zone="far"))
             near, far = router.backends.of_service("tracker")
-            self.let_answer(far, USUAL_SECONDS)
-            self.let_answer(near, near_seconds)
+            self.record_answers(far, TYPICAL_SECONDS)
+            self.record_answers(near, near_seconds)
             self.assertEqual(self.chosen(router), expected)
 
-    def test_answers_are_timed_by_what_a_client_acknowledges_and_by_its_end(self) -> None:
+    def test_answers_are_timed_by_acknowledgements_and_by_the_end_of_the_flow(self) -> None:
         command = self.router.handle(opening(1), 0.0)
         assert isinstance(command, ForwardPacket)
         token = command.token
--- a/tests/unit/tokens/test_backend_lives.py
+++ b/tests/unit/tokens/test_backend_lives.py
@@ -1,4 +1,4 @@
-"""Backends that start anew under their name, and entries that somebody else wrote."""
+"""Backends that restart under their name, and records with the address of another backend."""
 
 import unittest
 
@@ -27,63 +27,67 @@
 NOW = 100.0
 
 
-def reborn(record: BackendRecord, **fields: object) -> BackendRecord:
+def restarted(record: BackendRecord, **fields: object) -> BackendRecord:
     return record._replace(born_at=record.born_at + 1000, sequence=1, **fields)
 
 
-class NewLifeTest(unittest.TestCase):
+class RestartTest(unittest.TestCase):
     def setUp(self) -> None:
         self.table = BackendTable()
         self.first = backend(1)._replace(born_at=5000, sequence=8)
         self.table.update(self.first, 1, NOW)
 
-    def test_nothing_that_was_seen_of_the_former_one_counts(self) -> None:
-        former = self.table.find(self.first.name)
-        assert former is not None
-        former.pending, former.open, former.busy, former.failures = 3, 9, 4, 5
-        former.suspect_until = former.failing_until = former.doubted_until = NOW + 50.0
-        former.down_since = NOW
-        self.assertTrue(self.table.update(reborn(self.first), 2, NOW + 1.0))
-        now = self.table.find(self.first.name)
-        assert now is not None
-        self.assertIsNot(now, former)
-        self.assertTrue(former.forgotten)
-        self.assertEqual((now.pending, now.open, now.busy, now.failures), (0, 0, 0, 0))
-        self.assertLess(max(now.suspect_until, now.failing_until, now.doubted_until), NOW)
-        self.assertIsNone(now.down_since)
+    def test_observations_of_the_earlier_incarnation_do_not_apply(self) -> None:
+        earlier = self.table.find(self.first.name)
+        assert earlier is not None
+        earlier.pending, earlier.open, earlier.busy, earlier.failures = 3, 9, 4, 5
+        earlier.suspect_until = earlier.failing_until = earlier.doubted_until = NOW + 50.0
+        earlier.down_since = NOW
+        self.assertTrue(self.table.update(restarted(self.first), 2, NOW + 1.0))
+        current = self.table.find(self.first.name)
+        assert current is not None
+        self.assertIsNot(current, earlier)
+        self.assertTrue(earlier.forgotten)
+        self.assertEqual(
+            (current.pending, current.open, current.busy, current.failures), (0, 0, 0, 0)
+        )
+        self.assertLess(
+            max(current.suspect_until, current.failing_until, current.doubted_until), NOW
+        )
+        self.assertIsNone(current.down_since)
         self.assertEqual(len(self.table), 1)
 
-    def test_one_that_drained_takes_flows_again(self) -> None:
+    def test_a_drained_backend_takes_flows_after_a_restart(self) -> None:
         self.table.update(self.first._replace(state=BackendState.DRAINING), 2, NOW)
-        self.table.update(reborn(self.first), 3, NOW)
+        self.table.update(restarted(self.first), 3, NOW)
         found = self.table.find(self.first.name)
         assert found is not None
         self.assertTrue(found.takes_flows)
 
-    def test_its_address_may_be_another(self) -> None:
-        self.table.update(reborn(self.first, host="127.0.0.9"), 2, NOW)
+    def test_its_address_may_change(self) -> None:
+        self.table.update(restarted(self.first, host="127.0.0.9"), 2, NOW)
         self.table.update(backend(7, port=self.first.port), 3, NOW)
         found = self.table.find(self.first.name)
         assert found is not None
         self.assertFalse(found.ended)
 
-    def test_reports_from_before_say_nothing_of_it(self) -> None:
+    def test_reports_from_before_the_restart_are_ignored(self) -> None:
         for number in range(2, 8):
             self.table.update(backend(number), number, NOW)
-        self.table.update(reborn(self.first), 9, NOW + 1.0)
+        self.table.update(restarted(self.first), 9, NOW + 1.0)
         name = self.first.name
         self.assertIsNone(self.table.suspect(name, NOW + 0.5, NOW + 3.0))
         self.assertIsNone(self.table.note_failing(name, NOW + 0.5, NOW + 1.1, NOW + 3.0))
         self.assertIsNotNone(self.table.suspect(name, NOW + 1.2, NOW + 3.2))
         self.assertIsNotNone(self.table.note_failing(name, NOW + 1.2, NOW + 1.3, NOW + 3.2))
 
-    def test_writing_again_is_no_new_life(self) -> None:
-        former = self.table.find(self.first.name)
+    def test_a_repeated_write_is_not_a_restart(self) -> None:
+        earlier = self.table.find(self.first.name)
         self.assertFalse(self.table.update(self.first._replace(sequence=9), 2, NOW))
-        self.assertIs(self.table.find(self.first.name), former)
+        self.assertIs(self.table.find(self.first.name), earlier)
 
 
-class FlowsOfBeforeTest(unittest.TestCase):
+class EarlierFlowsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.core = new_core()
         self.core.use_key(KEY)
@@ -117,37 +121,39 @@
         sent = packet(1, PacketKind.DATA, token=self.token, sequence=sequence, data_length=90)
         return self.core.router.handle(sent, now)
 
-    def test_their_packets_still_reach_it_and_count_nowhere(self) -> None:
-        self.put(2, reborn(self.first))
+    def test_their_packets_are_forwarded_and_not_counted(self) -> None:
+        self.put(2, restarted(self.first))
         for turn in range(4):
             command = self.send(NOW + 1.0 + turn, sequence=2)
             self.assertIsInstance(command, ForwardPacket)
         self.core.router.advance(NOW + 6.0)
-        now = self.core.router.backends.find(self.first.name)
-        assert now is not None
-        self.assertEqual((now.open, now.busy, now.stalled, now.suspect_until), (0, 0, 0, 0.0))
+        current = self.core.router.backends.find(self.first.name)
+        assert current is not None
+        self.assertEqual(
+            (current.open, current.busy, current.stalled, current.suspect_until), (0, 0, 0, 0.0)
+        )
 
-    def test_they_are_not_reset_as_they_may_have_opened_there_since(self) -> None:
-        self.put(2, reborn(self.first))
+    def test_they_are_not_reset_as_they_may_be_open_at_the_new_incarnation(self) -> None:
+        self.put(2, restarted(self.first))
         self.assertEqual(list(self.core.router.resets), [])
 
-    def test_a_check_of_the_former_one_says_nothing_of_it(self) -> None:
-        former = self.core.router.backends.find(self.first.name)
-        assert former is not None
-        self.put(2, reborn(self.first))
-        self.core.checks.take(former, CheckOutcome.REFUSED, NOW + 1.0)
-        now = self.core.router.backends.find(self.first.name)
-        assert now is not None
-        self.assertIsNone(now.down_since)
-
-    def test_a_client_that_opens_anew_is_served(self) -> None:
-        self.put(2, reborn(self.first))
+    def test_a_check_of_the_earlier_incarnation_is_ignored(self) -> None:
+        earlier = self.core.router.backends.find(self.first.name)
+        assert earlier is not None
+        self.put(2, restarted(self.first))
+        self.core.checks.take(earlier, CheckOutcome.REFUSED, NOW + 1.0)
+        current = self.core.router.backends.find(self.first.name)
+        assert current is not None
+        self.assertIsNone(current.down_since)
+
+    def test_a_new_opening_is_forwarded(self) -> None:
+        self.put(2, restarted(self.first))
         command = self.core.router.handle(opening(1), NOW + 1.0)
         self.assertIsInstance(command, ForwardPacket)
 
 
 class ForeignEntryTest(unittest.TestCase):
-    """An entry of a service that no configuration names may tell anybody's address."""
+    """A record of a service outside the configuration may contain any address."""
 
     def make_core(self, *records: BackendRecord) -> TokenCore:
         core = new_core()
@@ -160,7 +166,7 @@
         core.take_configuration(core.configuration.replace([main], 1), NOW)
         return core
 
-    def test_it_does_not_take_a_living_backends_address(self) -> None:
+    def test_it_does_not_claim_the_address_of_a_live_backend(self) -> None:
         own, foreign = backend(1), backend(9, "unheard-of", port=backend(1).port)
         core = self.make_core(own, foreign)
         found = core.router.backends.find(own.name)
@@ -169,7 +175,7 @@
         command = core.router.handle(opening(1), NOW)
         self.assertNotIsInstance(command, ResetFlow)
 
-    def test_a_later_owner_of_a_service_that_is_named_does(self) -> None:
+    def test_a_later_backend_of_a_configured_service_does(self) -> None:
         own, later = backend(1), backend(9, port=backend(1).port)
         core = self.make_core(own, later)
         found = core.router.backends.find(own.name)
@@ -178,59 +184,52 @@
 
 
 class AddressAcrossErasTest(unittest.TestCase):
-    def test_an_entry_of_a_restored_store_does_not_end_the_one_that_lives(self) -> None:
-        """The copy lists who had the address before, and not yet who has it now."""
+    def test_a_record_of_a_restored_store_does_not_end_a_live_backend(self) -> None:
+        """The restored copy lists the earlier owner of the address, and not yet the present one."""
         table = BackendTable()
-        living, former = backend(2, port=8001), backend(1, port=8001)
-        table.update(living, revision_in_era(1, 30), NOW)
-        table.update(former, revision_in_era(2, 20), NOW)
-        found = table.find(living.name)
+        live, earlier = backend(2, port=8001), backend(1, port=8001)
+        table.update(live, revision_in_era(1, 30), NOW)
+        table.update(earlier, revision_in_era(2, 20), NOW)
+        found = table.find(live.name)
         assert found is not None
         self.assertFalse(found.ended)
-        table.update(living, revision_in_era(2, 21), NOW + 1.0)
+        table.update(live, revision_in_era(2, 21), NOW + 1.0)
         self.assertTrue(found.takes_flows)
 
-    def test_who_was_born_later_has_it(self) -> None:
+    def test_the_backend_that_started_later_has_the_address(self) -> None:
         table = BackendTable()
-        living = backend(2, port=8001)._replace(born_at=9000)
-        table.update(living, revision_in_era(1, 30), NOW)
+        live = backend(2, port=8001)._replace(born_at=9000)
+        table.update(live, revision_in_era(1, 30), NOW)
         table.update(backend(1, port=8001)._replace(born_at=4000), revision_in_era(2, 20), NOW)
-        found, former = table.find(living.name), table.find(backend(1).name)
+        found, earlier = table.find(live.name), table.find(backend(1).name)
         assert found is not None
-        assert former is not None
-        self.assertEqual((found.ended, former.ended), (False, True))
+        assert earlier is not None
+        self.assertEqual((found.ended, earlier.ended), (False, True))
 
 
 class FormerOwnerTest(unittest.TestCase):
-    """A restored store lists who had an address before, beside the one that has it now.
+    """A restored store lists the earlier owner of an address again, beside the present one.
 
-    What users saw: flows of a living backend were reset. Its address had belonged to another, which
-    had drained and gone; the copy held that one's entry again. Nodes did not believe it for as long
-    as its writer could have repeated it. Then they took it up at the revision of their whole view
-    in place of its own, by which it came later to the address than the one that lives. It struck
-    nodes that had started when the former owner was gone already and no service was known yet.
-
-    The evidence, from seed 4023 of the simulation: the former owner's entry was written as number
-    10 and taken up as 13 at 35.82 s; the living one's was 11; both of its flows ended as
-    `backend_ended` at that moment. Whether the store tells its era makes no difference.
+    Guards against applying the earlier owner's record at the revision of the whole view instead of
+    its own: it then seemed to be the later owner, and flows of the live backend were reset.
     """
 
-    def test_it_does_not_end_the_one_that_lives_when_it_is_believed_again(self) -> None:
-        former = backend(1, port=8001)._replace(state=BackendState.DRAINING, sequence=9)
-        living = backend(2, port=8001)
+    def test_the_former_owner_does_not_end_the_live_backend(self) -> None:
+        earlier = backend(1, port=8001)._replace(state=BackendState.DRAINING, sequence=9)
+        live = backend(2, port=8001)
         core = new_core()
         core.router.backends.use_services(frozenset(), NOW)
-        self.list(core, revision_in_era(1, 30), self.named(1, 10, former))
-        self.apply(core, 1, 31, living)
-        self.remove(core, 1, 32, former)
+        self.list(core, revision_in_era(1, 30), self.named(1, 10, earlier))
+        self.apply(core, 1, 31, live)
+        self.remove(core, 1, 32, earlier)
         core.router.backends.use_services(frozenset({"tracker"}), NOW)
-        self.list(core, revision_in_era(2, 20), self.named(2, 10, former))
-        self.apply(core, 2, 21, living)
+        self.list(core, revision_in_era(2, 20), self.named(2, 10, earlier))
+        self.apply(core, 2, 21, live)
         self.apply(core, 2, 22, backend(3))
         core.advance(NOW)
         core.advance(NOW + BackendOrder().settle_seconds + 0.25)
         self.assertFalse(core.backends.keeps_words)
-        found = core.router.backends.find(living.name)
+        found = core.router.backends.find(live.name)
         assert found is not None
         self.assertFalse(found.ended)
         self.assertTrue(found.takes_flows)
@@ -250,8 +249,8 @@
         core.take_backends(core.backends.apply([change], change.revision), NOW)
 
 
-class UnheardStartTest(unittest.TestCase):
-    """A backend whose process was gone and that can be reached again has started anew."""
+class UnreportedRestartTest(unittest.TestCase):
+    """A backend that refused connections and can be reached again has restarted."""
 
     def setUp(self) -> None:
         self.router = make_router()
@@ -265,27 +264,27 @@
     def check(self, outcome: CheckOutcome, now: float) -> None:
         self.judge.checks.take(self.held, outcome, now)
 
-    def test_it_counts_as_cold_before_its_entry_says_so(self) -> None:
+    def test_it_is_presumed_cold_before_its_record_arrives(self) -> None:
         self.check(CheckOutcome.REFUSED, NOW)
         self.check(CheckOutcome.ALIVE, NOW + 1.0)
         self.assertEqual(self.held.cold_until, NOW + 5.0)
 
-    def test_one_that_was_only_cut_off_does_not(self) -> None:
+    def test_a_backend_that_was_only_unreachable_is_not(self) -> None:
         self.check(CheckOutcome.SILENT, NOW)
         self.check(CheckOutcome.ALIVE, NOW + 1.0)
         self.assertLess(self.held.cold_until, NOW)
 
-    def test_its_entry_tells_more(self) -> None:
+    def test_its_new_record_ends_the_presumption(self) -> None:
         self.check(CheckOutcome.REFUSED, NOW)
         self.check(CheckOutcome.ALIVE, NOW + 1.0)
-        self.router.backends.update(reborn(backend(1)), 2, NOW + 1.2)
+        self.router.backends.update(restarted(backend(1)), 2, NOW + 1.2)
         found = self.router.backends.find(backend(1).name)
         assert found is not None
         self.assertLess(found.cold_until, NOW)
 
 
 class EndOfWarmUpTest(unittest.TestCase):
-    """Found by soak seed 4: a start that was heard 3 s late left a service without any backend."""
+    """Guards against a warm-up that continues after a record without one."""
 
     def setUp(self) -> None:
         self.table = BackendTable()
@@ -297,57 +296,53 @@
         assert found is not None
         return found.cold_until
 
-    def test_a_backend_that_says_that_it_is_warm_is(self) -> None:
+    def test_a_record_without_warm_up_ends_it(self) -> None:
         self.assertEqual(self.cold_until(), NOW + 4.0)
         self.table.update(backend(1), 2, NOW + 0.8)
         self.assertLess(self.cold_until(), NOW)
 
-    def test_one_that_may_have_turned_cold_unheard_is_not_warm_by_an_old_word(self) -> None:
+    def test_a_record_does_not_end_it_if_the_return_revision_is_unknown(self) -> None:
         self.table.update(backend(1), 2, NOW + 0.8)
         self.table.evacuate(frozenset({ZONE}), NOW + 1.0)
         self.table.evacuate(frozenset(), NOW + 2.0)
         self.table.update(backend(1, slots=3), 3, NOW + 2.5)
         self.assertEqual(self.cold_until(), NOW + 6.0)
 
-    def return_zone(self, revision: int) -> None:
+    def end_evacuation(self, revision: int) -> None:
         self.table.evacuate(frozenset({ZONE}), NOW + 1.0)
         self.table.evacuate(frozenset(), NOW + 2.0, {ZONE: revision})
 
-    def test_one_that_says_after_its_zones_return_that_it_is_warm_is(self) -> None:
-        """Told on a page, on no list: nodes held warm backends for cold for 4 s on that word.
-
-        The store counts the changes of all kinds in one order, so that the entry's revision and the
-        return's tell which was written first.
-        """
+    def test_a_record_written_after_an_evacuation_ends_it(self) -> None:
+        """The store numbers changes of all kinds in one order, so revisions can be compared."""
         self.table.update(backend(1), 2, NOW + 0.8)
-        self.return_zone(7)
+        self.end_evacuation(7)
         self.assertEqual(self.cold_until(), NOW + 6.0)
         self.table.update(backend(1, slots=3), 8, NOW + 2.5)
         self.assertLess(self.cold_until(), NOW)
 
-    def test_also_where_its_word_is_heard_before_the_return(self) -> None:
+    def test_such_a_record_may_arrive_before_the_evacuation_ends(self) -> None:
         self.table.update(backend(1), 8, NOW + 0.8)
-        self.return_zone(7)
+        self.end_evacuation(7)
         self.assertLess(self.cold_until(), NOW)
 
-    def test_an_entry_that_was_written_before_the_return_says_nothing(self) -> None:
-        self.return_zone(7)
+    def test_a_record_written_before_the_end_of_an_evacuation_does_not(self) -> None:
+        self.end_evacuation(7)
         self.table.update(backend(1, slots=3), 6, NOW + 2.5)
         self.assertEqual(self.cold_until(), NOW + 6.0)
 
-    def test_nor_does_one_of_another_era(self) -> None:
+    def test_a_record_of_another_era_does_not(self) -> None:
         self.table.update(backend(1), 2, NOW + 0.8)
-        self.return_zone(revision_in_era(1, 7))
+        self.end_evacuation(revision_in_era(1, 7))
         self.table.update(backend(1, slots=3), revision_in_era(2, 8), NOW + 2.5)
         self.assertEqual(self.cold_until(), NOW + 6.0)
 
-    def test_one_that_says_then_that_it_is_cold_is(self) -> None:
+    def test_a_warm_up_reported_after_an_evacuation_applies(self) -> None:
         self.table.update(backend(1), 2, NOW + 0.8)
-        self.return_zone(7)
+        self.end_evacuation(7)
         self.table.update(backend(1, warm_up=4.0), 8, NOW + 3.0)
         self.assertEqual(self.cold_until(), NOW + 7.0)
 
-    def test_one_that_says_again_that_it_is_cold_may_have_turned_cold_anew(self) -> None:
-        """Found by soak seed 102: the same words, 3 s later, were no news and it got too much."""
+    def test_a_repeated_warm_up_report_starts_a_new_warm_up(self) -> None:
+        """Guards against ignoring a repeated report, which sent a cold backend too many flows."""
         self.table.update(backend(1, warm_up=4.0)._replace(sequence=2), 2, NOW + 3.0)
         self.assertEqual(self.cold_until(), NOW + 7.0)
--- a/tests/unit/tokens/test_backend_table.py
+++ b/tests/unit/tokens/test_backend_table.py
@@ -1,4 +1,4 @@
-"""The backend table at the size to design for, and what it forgets."""
+"""Cost of large updates of the backend table, and removal of old backends."""
 
 import time
 import unittest
@@ -10,13 +10,13 @@
 
 
 class BackendTableTest(unittest.TestCase):
-    def test_a_list_costs_time_in_proportion_to_its_length(self) -> None:
-        """Found by a sweep of 300 nodes: each record looked at all others."""
+    def test_update_time_grows_linearly_with_the_list(self) -> None:
+        """Guards against an update that scans all other backends."""
         small, large = self.cost(LARGEST_FLEET // 8), self.cost(LARGEST_FLEET)
         self.assertLess(large, 25 * small)
 
     def cost(self, count: int) -> float:
-        """Return the least processor time of a few tries, in seconds."""
+        """Return the minimum processor time of several runs, in seconds."""
         records = [backend(number, f"service-{number % 360}") for number in range(1, count + 1)]
         costs = []
         for _ in range(5):
@@ -28,7 +28,7 @@
             self.assertEqual(len(table), count)
         return min(costs)
 
-    def test_what_has_been_gone_for_long_is_forgotten(self) -> None:
+    def test_backends_gone_for_long_are_removed(self) -> None:
         table = BackendTable()
         table.update(backend(1), 1, now=0.0)
         table.update(backend(2), 2, now=0.0)
--- a/tests/unit/tokens/test_cold_starts.py
+++ b/tests/unit/tokens/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""Backends that are cold: how few flows all nodes together send them."""
+"""Limits of new flows at cold backends, for one node and for a fleet."""
 
 import random
 import unittest
@@ -30,11 +30,11 @@
 LIMITS = ColdStartLimits(excess_factor=1.5, slack_requests=5.0)
 START = 10.0
 RATES = (0.0, 4.0, 10.0, 40.0)
-"""Requests a second that a cold backend bears."""
+"""Requests per second that a cold backend can take."""
 
 
 def make_router(*numbers: int, warm_up: float = 2.0, rate: float = 0.0) -> TokenRouter:
-    """Return a router with cold backends of these numbers, which may send to all of them."""
+    """Return a router with cold backends of these numbers that may open flows at all of them."""
     gate = ColdStartGate(LIMITS)
     gate.is_sender = lambda identity, now: True
     gate.use_rates([ServiceWarmUp("tracker", 2.0, rate)])
@@ -62,13 +62,13 @@
         chosen = Counter(forwarded_to(router.handle(opening(n), START)) for n in range(20))
         self.assertEqual(chosen[1], 1)
 
-    def test_it_is_warm_when_its_time_is_over(self) -> None:
+    def test_a_backend_is_warm_after_its_warm_up(self) -> None:
         router = make_router(1)
         for client in range(20):
             command = router.handle(opening(client), START + 2.1)
             self.assertIsInstance(command, ForwardPacket)
 
-    def test_where_all_are_cold_an_opening_waits_for_its_copy(self) -> None:
+    def test_an_opening_is_dropped_until_a_copy_if_all_backends_are_cold(self) -> None:
         router = make_router(1)
         self.assertIsInstance(router.handle(opening(1), START), ForwardPacket)
         command = router.handle(opening(2), START)
@@ -83,7 +83,7 @@
         self.assertIsInstance(router.handle(opening(2), START), DropPacket)
         self.assertIsInstance(router.handle(opening(2, 2), START + 0.6), ResetFlow)
 
-    def test_a_zone_that_is_taken_back_counts_as_cold(self) -> None:
+    def test_backends_are_presumed_cold_after_an_evacuation(self) -> None:
         router = make_router(1, 2, warm_up=0.0)
         router.backends.evacuate(frozenset({ZONE}), START)
         router.backends.evacuate(frozenset(), START + 8.0)
@@ -91,7 +91,7 @@
         self.assertEqual(forwarded_to(router.handle(opening(1), START + 9.9)), 3)
         self.assertNotEqual(forwarded_to(router.handle(opening(2), START + 10.1)), 3)
 
-    def test_copies_count(self) -> None:
+    def test_copies_count_against_the_limit(self) -> None:
         router = make_router(1, rate=4.0)
         self.assertIsInstance(router.handle(opening(1), START), ForwardPacket)
         self.assertIsInstance(router.handle(opening(1), START + 0.01), ForwardPacket)
@@ -99,16 +99,16 @@
 
 
 class FleetTest(unittest.TestCase):
-    """All nodes send all they may, with views of the fleet that differ."""
+    """All nodes open as many flows as they may, with different views of the fleet."""
 
-    def most_in_a_second(self, nodes: int, unheard: float, rate: float, seed: int) -> int:
-        chance = random.Random(seed)
+    def most_in_a_second(self, nodes: int, missing: float, rate: float, seed: int) -> int:
+        rng = random.Random(seed)
         hosts = [f"10.0.{number // 250}.{number % 250 + 1}" for number in range(nodes)]
         gates = []
         for host in hosts:
-            heard = [other for other in hosts if chance.random() >= unheard]
+            known_hosts = [other for other in hosts if rng.random() >= missing]
             gate = ColdStartGate(LIMITS)
-            gate.is_sender = settled_share(host, heard, SENDERS_OF_A_BACKEND).holds
+            gate.is_sender = settled_share(host, known_hosts, SENDERS_OF_A_BACKEND).holds
             gate.use_rates([ServiceWarmUp("tracker", 2.0, rate)])
             gates.append(gate)
         router = make_router(*range(1, 5))
@@ -120,14 +120,14 @@
                 for held in cold:
                     if gate.allows(held, now):
                         gate.note_opening(held, now)
-                        sent[held.record.name].append(now + chance.uniform(0.0, 0.1))
+                        sent[held.record.name].append(now + rng.uniform(0.0, 0.1))
         return max(
             sum(at <= other < at + 1.0 for other in times)
             for times in sent.values()
             for at in times
         )
 
-    def test_no_second_gets_more_than_is_allowed(self) -> None:
+    def test_no_second_exceeds_the_limit(self) -> None:
         for nodes, rates in ((7, RATES), (74, RATES), (300, (0.0, 4.0))):
             for rate in rates:
                 allowed = rate * LIMITS.excess_factor + LIMITS.slack_requests
@@ -136,20 +136,20 @@
                         most = self.most_in_a_second(nodes, 0.05, rate, seed)
                         self.assertLessEqual(most, allowed)
 
-    def test_somebody_sends(self) -> None:
+    def test_at_least_one_node_opens_flows(self) -> None:
         for nodes in (1, 7, 74):
             self.assertGreater(self.most_in_a_second(nodes, 0.0, 0.0, 1), 0)
 
-    def test_who_has_just_met_its_peers_counts_itself_out(self) -> None:
+    def test_a_node_that_has_just_joined_holds_no_key(self) -> None:
         share = FleetShare(PeerTable("10.0.0.1", (), random.Random(1)), 2, START)
         self.assertFalse(share.holds(7, START + SETTLING_SECONDS - 0.1))
         self.assertTrue(share.holds(7, START + SETTLING_SECONDS))
 
-    def test_a_key_belongs_to_so_many_nodes(self) -> None:
+    def test_a_key_belongs_to_the_given_number_of_nodes(self) -> None:
         hosts = [f"10.0.0.{number}" for number in range(1, 40)]
         for key in range(50):
             holders = sum(settled_share(host, hosts, 2).holds(key, START) for host in hosts)
             self.assertEqual(holders, 2)
 
-    def test_what_one_node_may_send_leaves_room_for_views_that_differ(self) -> None:
+    def test_the_share_of_a_node_allows_for_different_views(self) -> None:
         self.assertGreaterEqual(SENDERS_OF_A_BACKEND * DISAGREEMENT_FACTOR, 4)
--- a/tests/unit/tokens/test_configuration_history.py
+++ b/tests/unit/tokens/test_configuration_history.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration as differences, and the last ones that a node had."""
+"""Differences between configuration versions, and the history of a node."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class DifferenceTest(unittest.TestCase):
-    def test_it_holds_what_has_changed_and_leads_to_the_target(self) -> None:
+    def test_a_difference_holds_the_changes_and_gives_the_target(self) -> None:
         base = many_routes(1, 100)
         target = RoutingConfiguration(2, many_routes(2, 110, 3).routes[:50], 7.0)
         difference = difference_between(base, target)
@@ -22,16 +22,16 @@
         self.assertEqual(len(difference.removed), 50)
         self.assertEqual(apply_difference(base, difference), target)
 
-    def test_routes_are_added_behind_the_others(self) -> None:
+    def test_new_routes_are_appended(self) -> None:
         base, target = many_routes(1, 10), many_routes(2, 14)
         difference = difference_between(base, target)
         assert difference is not None
         self.assertEqual(apply_difference(base, difference), target)
 
-    def test_there_is_none_where_it_would_not_lead_exactly_there(self) -> None:
+    def test_there_is_none_if_it_would_not_give_the_exact_target(self) -> None:
         base = many_routes(1, 10)
-        turned = RoutingConfiguration(2, tuple(reversed(base.routes)))
-        self.assertIsNone(difference_between(base, turned))
+        reversed_order = RoutingConfiguration(2, tuple(reversed(base.routes)))
+        self.assertIsNone(difference_between(base, reversed_order))
         twice = RoutingConfiguration(2, base.routes + base.routes[:1])
         self.assertIsNone(difference_between(base, twice))
 
--- a/tests/unit/tokens/test_liveness.py
+++ b/tests/unit/tokens/test_liveness.py
@@ -1,4 +1,4 @@
-"""Backends that seem dead: when they are checked, and what becomes of their flows."""
+"""Checks of backends that may be dead, and the effect of their outcomes on flows."""
 
 import unittest
 
@@ -50,7 +50,7 @@
             self.checks.suspect(self.backend, Suspicion.REPEATED_REQUEST, START + step * 0.01)
         self.assertEqual(self.begun, [self.backend])
 
-    def test_one_that_lives_is_left_alone_longer_and_longer(self) -> None:
+    def test_checks_of_a_live_backend_become_less_frequent(self) -> None:
         now, starts = START, []
         while now < START + 10.0:
             self.checks.suspect(self.backend, Suspicion.QUIET_REQUEST, now)
@@ -62,7 +62,7 @@
         self.assertLessEqual(len(starts), 8)
         self.assertEqual(self.down, [])
 
-    def test_silence_and_refusal_are_deaths(self) -> None:
+    def test_silent_and_refused_checks_mark_a_backend_as_down(self) -> None:
         for number, outcome in ((1, CheckOutcome.SILENT), (2, CheckOutcome.REFUSED)):
             held = Backend(backend(number), 1)
             self.checks.suspect(held, Suspicion.UNANSWERED_OPENING, START)
@@ -70,7 +70,7 @@
             self.assertEqual(held.down_since, START + 0.3)
         self.assertEqual(self.down, [(1, CheckOutcome.SILENT), (2, CheckOutcome.REFUSED)])
 
-    def test_a_sign_of_life_during_the_check_outweighs_its_silence(self) -> None:
+    def test_a_silent_check_with_a_sign_of_life_is_unclear(self) -> None:
         self.checks.suspect(self.backend, Suspicion.REPEATED_REQUEST, START)
         self.backend.last_alive_at = START + 0.1
         self.checks.take(self.backend, CheckOutcome.SILENT, START + 0.3)
@@ -84,7 +84,7 @@
         self.checks.advance(START + 0.4)
         self.assertEqual(len(self.begun), 1)
 
-    def test_one_that_is_listed_is_checked_until_it_is_back(self) -> None:
+    def test_a_listed_backend_is_checked_until_it_is_up_again(self) -> None:
         self.checks.suspect(self.backend, Suspicion.REPEATED_REQUEST, START)
         self.checks.take(self.backend, CheckOutcome.SILENT, START + 0.3)
         self.checks.advance(START + 0.3 + RECHECK_SECONDS)
@@ -94,7 +94,7 @@
         self.checks.advance(START + 20.0)
         self.assertEqual(len(self.begun), 2)
 
-    def test_one_that_has_gone_and_lives_is_checked_while_flows_are_open(self) -> None:
+    def test_a_gone_backend_that_is_alive_is_checked_while_flows_are_open(self) -> None:
         self.backend.gone_at = START
         self.backend.open = 2
         self.checks.suspect(self.backend, Suspicion.GONE, START)
@@ -106,8 +106,8 @@
         self.checks.advance(START + 20.0)
         self.assertEqual(len(self.begun), 2)
 
-    def test_one_that_is_listed_again_is_checked_at_once(self) -> None:
-        """A dead backend gets no flows, so that nothing else would find it alive again."""
+    def test_a_backend_that_is_listed_again_is_checked_at_once(self) -> None:
+        """A dead backend gets no flows, so nothing else would show that it is alive again."""
         self.backend.gone_at = START
         self.checks.suspect(self.backend, Suspicion.GONE, START)
         self.checks.take(self.backend, CheckOutcome.SILENT, START + 0.2)
@@ -120,7 +120,7 @@
         self.checks.advance(START + 6.3 + MAX_RECHECK_SECONDS)
         self.assertEqual(len(self.begun), 3)
 
-    def test_only_so_many_at_once(self) -> None:
+    def test_the_number_of_concurrent_checks_is_limited(self) -> None:
         held = [Backend(backend(number), 1) for number in range(1, 30)]
         for one in held:
             self.checks.suspect(one, Suspicion.REPORTED, START)
@@ -129,7 +129,7 @@
             self.checks.take(self.begun.pop(0), CheckOutcome.SILENT, START + 0.3)
         self.assertEqual(len(self.down), len(held))
 
-    def test_where_many_of_a_zone_are_down_all_of_it_is_checked(self) -> None:
+    def test_several_down_backends_cause_a_check_of_their_zone(self) -> None:
         held = [Backend(backend(number), 1) for number in range(1, 8)]
         held.append(Backend(backend(9, zone="east"), 1))
         for one in held[:ZONE_DOWN_BACKENDS]:
@@ -140,40 +140,40 @@
 
 
 class SuspicionTest(unittest.TestCase):
-    """What makes a node check a backend."""
+    """Observations that make a node check a backend."""
 
     def setUp(self) -> None:
         self.router = make_router(backend(1))
-        self.heard: list[Suspicion] = []
-        self.router.flows.on_suspicion = lambda held, why, now: self.heard.append(why)
+        self.suspicions: list[Suspicion] = []
+        self.router.flows.on_suspicion = lambda held, why, now: self.suspicions.append(why)
         command = self.router.handle(opening(1), START)
         assert isinstance(command, ForwardPacket)
         self.token = command.token
 
-    def ask(self, now: float, sequence: int = 1) -> None:
+    def send_request(self, now: float, sequence: int = 1) -> None:
         data = packet(1, token=self.token, sequence=sequence, data_length=9)
         self.router.handle(data, now)
 
     def test_an_opening_without_an_answer(self) -> None:
         self.router.advance(START + 0.2)
-        self.assertEqual(self.heard, [Suspicion.UNANSWERED_OPENING])
+        self.assertEqual(self.suspicions, [Suspicion.UNANSWERED_OPENING])
 
     def test_a_request_that_is_repeated(self) -> None:
-        self.ask(START + 0.01)
-        self.assertEqual(self.heard, [])
-        self.ask(START + 0.21)
-        self.assertEqual(self.heard, [Suspicion.REPEATED_REQUEST])
+        self.send_request(START + 0.01)
+        self.assertEqual(self.suspicions, [])
+        self.send_request(START + 0.21)
+        self.assertEqual(self.suspicions, [Suspicion.REPEATED_REQUEST])
 
     def test_a_request_that_neither_gets_an_answer_nor_is_repeated(self) -> None:
-        self.ask(START + 0.01)
+        self.send_request(START + 0.01)
         self.router.advance(START + 0.02 + QUIET_SECONDS)
-        self.assertEqual(self.heard, [Suspicion.QUIET_REQUEST])
+        self.assertEqual(self.suspicions, [Suspicion.QUIET_REQUEST])
 
-    def test_an_answer_clears_it(self) -> None:
-        self.ask(START + 0.01)
+    def test_an_answer_prevents_a_suspicion(self) -> None:
+        self.send_request(START + 0.01)
         self.router.handle(packet(1, token=self.token, acknowledged=900), START + 0.05)
         self.router.advance(START + 1.0)
-        self.assertEqual(self.heard, [])
+        self.assertEqual(self.suspicions, [])
 
 
 class EndingTest(unittest.TestCase):
@@ -203,7 +203,7 @@
         self.assertEqual(self.held(1).open, 0)
         self.assertEqual(self.held(2).open, 2)
 
-    def test_flows_of_a_backend_whose_address_has_passed_on_are_reset_at_once(self) -> None:
+    def test_flows_of_a_backend_whose_address_was_reassigned_are_reset_at_once(self) -> None:
         self.router.backends.update(backend(7, "other", port=8001), 50, START + 5.0)
         self.assertEqual(len(self.router.resets), 2)
         self.assertEqual(
@@ -229,7 +229,7 @@
 
 
 class CoreTest(unittest.TestCase):
-    def test_a_peers_word_alone_ends_no_flow(self) -> None:
+    def test_a_report_of_a_peer_alone_ends_no_flow(self) -> None:
         core = make_core_with_flow()
         held = core.router.backends.find(backend(1).name)
         assert held is not None
@@ -251,7 +251,7 @@
 
 
 def make_core_with_flow() -> TokenCore:
-    """Return a core with one open flow, at the backend of number 1."""
+    """Return a core with one open flow, at backend 1."""
     core = make_core(ALL_MECHANISMS, backend(1))
     command = core.router.handle(opening(1), START)
     assert isinstance(command, ForwardPacket)
@@ -260,9 +260,9 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Real cores on the virtual clock: who waits on a dead backend, and who is let down."""
+    """Simulated fleets reset the flows of dead backends in time, and no others."""
 
-    def play(self, seed: int, *, dark: bool) -> TokenFleet:
+    def run_outage(self, seed: int, *, dark: bool) -> TokenFleet:
         fleet = TokenFleet(seed, nodes=12, endpoints=24)
         fleet.run(6.0)
         plan = FlowPlan(requests=40, rest_seconds=0.3, deadline_seconds=3.0)
@@ -276,11 +276,11 @@
         fleet.run(1.5)
         return fleet
 
-    def test_clients_of_a_dark_zone_are_told_within_a_second_and_a_half(self) -> None:
+    def test_clients_of_a_dead_zone_are_reset_within_1_5_seconds(self) -> None:
         for seed in range(3):
             for dark in (True, False):
                 with self.subTest(seed=seed, dark=dark):
-                    fleet = self.play(seed, dark=dark)
+                    fleet = self.run_outage(seed, dark=dark)
                     dead = [one for one in fleet.endpoints.values() if not one.alive]
                     waiting = [
                         flow
@@ -294,7 +294,7 @@
                     self.assertGreater(len(reset), 20)
                     self.assertEqual(fleet.oracle.violations, [])
 
-    def test_a_node_that_is_cut_from_peers_and_store_resets_nobody(self) -> None:
+    def test_a_node_without_peers_and_store_resets_no_flow(self) -> None:
         fleet = TokenFleet(9, nodes=7)
         fleet.run(6.0)
         for _ in range(60):
--- a/tests/unit/tokens/test_mechanisms.py
+++ b/tests/unit/tokens/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism can be switched off by its name, and then the node does something else."""
+"""Each mechanism can be switched off by name, which changes what a node does."""
 
 import asyncio
 import random
@@ -272,9 +272,9 @@
     core.take_configuration((make_change(12, many_routes(1, 50)),), NOW)
     core.configuration.apply([make_change(20, record)], 20)
     core.take_configuration((make_change(20, record),), NOW)
-    told = shared.encode_for(ViewRequest(1, 12, versions=[1]))
-    assert told is not None
-    return len(told) < 2 * len(whole)
+    encoded = shared.encode_for(ViewRequest(1, 12, versions=[1]))
+    assert encoded is not None
+    return len(encoded) < 2 * len(whole)
 
 
 def flow_bound_tokens(mechanisms: Mechanisms) -> object:
@@ -388,7 +388,7 @@
         self.assertIn("no such mechanism: speed", str(caught.exception))
         self.assertIn("own_zone", str(caught.exception))
 
-    def test_each_one_is_explained(self) -> None:
+    def test_each_mechanism_is_documented(self) -> None:
         for name in Mechanisms._fields:
             self.assertIn(f"    {name}: ", Mechanisms.__doc__ or "")
 
--- a/tests/unit/tokens/test_placement_by_terms.py
+++ b/tests/unit/tokens/test_placement_by_terms.py
@@ -1,4 +1,4 @@
-"""What the terms of a route change: which backend a flow gets, and what is told of backends."""
+"""Effects of the terms of a route on placement and on reports about backends."""
 
 import random
 import unittest
@@ -41,7 +41,7 @@
 
 
 def chosen_by(terms: RouteTerms, doubted: int, known: int = 6) -> set[int]:
-    """Return where flows go while the first `doubted` of some backends are doubted."""
+    """Return the backends that flows get while the first `doubted` of them are doubted."""
     identities = set()
     for seed in range(40):
         router = make_router(*(backend(n) for n in range(1, known + 1)), seed=seed)
@@ -53,16 +53,16 @@
 
 
 class DoubtTest(unittest.TestCase):
-    def test_what_may_not_run_twice_keeps_away_from_doubted_backends(self) -> None:
+    def test_unrepeatable_requests_avoid_doubted_backends(self) -> None:
         self.assertEqual(chosen_by(POST, doubted=2), {3, 4, 5, 6})
 
-    def test_what_may_run_twice_does_not(self) -> None:
+    def test_repeatable_requests_do_not(self) -> None:
         self.assertEqual(chosen_by(FEED, doubted=2), {1, 2, 3, 4, 5, 6})
 
-    def test_where_most_are_doubted_the_others_do_not_bear_all(self) -> None:
+    def test_doubt_is_ignored_if_most_backends_are_doubted(self) -> None:
         self.assertEqual(chosen_by(POST, doubted=4), {1, 2, 3, 4, 5, 6})
 
-    def test_another_zone_is_better_than_a_doubted_backend(self) -> None:
+    def test_another_zone_is_preferred_to_a_doubted_backend(self) -> None:
         router = make_router(backend(1), backend(2, zone="far"))
         router.backends.of_service("tracker")[0].doubt(NOW + 1)
         self.assertEqual(forwarded_to(router.handle(opening(1), NOW)), 2)
@@ -88,12 +88,12 @@
         held = self.core.router.flows.find(opening(1).flow)
         assert held is not None
         self.backend = held.backend
-        self.ask(NOW, sequence=1)
+        self.send_request(NOW, sequence=1)
 
-    def ask(self, now: float, sequence: int) -> None:
+    def send_request(self, now: float, sequence: int) -> None:
         self.core.router.handle(packet(1, token=self.token, sequence=sequence, data_length=9), now)
 
-    def test_it_is_doubted_after_a_part_of_the_objective(self) -> None:
+    def test_it_is_doubted_after_a_fraction_of_the_objective(self) -> None:
         self.core.router.advance(NOW + 0.29)
         self.assertLess(self.backend.doubted_until, NOW)
         self.core.router.advance(NOW + 0.31)
@@ -105,27 +105,27 @@
         command = self.core.router.handle(packet(1, token=self.token, data_length=9), NOW + 0.4)
         self.assertEqual(forwarded_to(command), self.backend.record.identity)
 
-    def test_an_answer_in_time_is_not_held_against_it(self) -> None:
+    def test_an_answer_in_time_causes_no_doubt(self) -> None:
         self.core.router.handle(packet(1, token=self.token, acknowledged=900), NOW + 0.2)
         self.core.router.advance(NOW + 0.5)
         self.assertLess(self.backend.doubted_until, NOW)
 
-    def test_a_request_that_had_to_be_sent_again_tells_of_the_way(self) -> None:
-        self.ask(NOW + 0.2, sequence=1)
+    def test_a_repeated_request_is_not_overdue(self) -> None:
+        self.send_request(NOW + 0.2, sequence=1)
         self.core.router.advance(NOW + 0.5)
         self.assertEqual(self.core.router.counters["answers_overdue"], 0)
 
-    def test_without_an_objective_nothing_is_due(self) -> None:
+    def test_without_an_objective_no_answer_is_overdue(self) -> None:
         put_terms_in_force(self.core, RouteTerms())
-        self.ask(NOW + 0.1, sequence=2)
+        self.send_request(NOW + 0.1, sequence=2)
         self.core.router.advance(NOW + 5.0)
         self.assertEqual(self.core.router.counters["answers_overdue"], 0)
 
-    def test_a_node_that_lags_blames_nobody(self) -> None:
+    def test_a_node_that_lags_reports_no_backend(self) -> None:
         self.core.advance(NOW + 0.9)
         self.assertEqual(self.core.router.counters["answers_overdue"], 0)
 
-    def test_a_peer_s_word_is_enough_for_doubt_and_two_for_all_flows(self) -> None:
+    def test_one_report_causes_doubt_and_a_confirmed_one_affects_all_flows(self) -> None:
         assert self.core.exchange is not None
         reports = self.core.exchange.reports
         self.core.router.advance(NOW + 0.31)
@@ -137,10 +137,10 @@
 
 
 class LastAnswerTest(unittest.TestCase):
-    def test_a_short_answer_that_ends_its_flow_is_a_sign(self) -> None:
+    def test_a_short_answer_that_ends_its_flow_is_reported(self) -> None:
         router = make_router(backend(1))
-        signs: list[Backend] = []
-        router.flows.on_short_answer = lambda held, now: signs.append(held)
+        reported: list[Backend] = []
+        router.flows.on_short_answer = lambda held, now: reported.append(held)
         for client in range(40):
             command = router.handle(opening(client), NOW)
             assert isinstance(command, ForwardPacket)
@@ -148,7 +148,7 @@
             size = 210 if client == 39 else 1000
             end = packet(client, PacketKind.END, token=command.token, acknowledged=size)
             router.handle(end, NOW + 0.1)
-        self.assertEqual(len(signs), 1)
+        self.assertEqual(len(reported), 1)
 
 
 class PriorityTest(unittest.TestCase):
@@ -164,13 +164,13 @@
         self.assertEqual(max(busy), 2)
 
     def test_no_priority_is_starved(self) -> None:
-        """Whatever backends are like, terms never leave a flow without one that others get."""
-        chance = random.Random(5)
+        """With random backends, a flow gets one under any terms if it does under the best ones."""
+        rng = random.Random(5)
         for _ in range(2000):
-            held = [random_backend(number, chance) for number in range(chance.randrange(6))]
+            held = [random_backend(number, rng) for number in range(rng.randrange(6))]
             placement = Placement(ZONE, PlacementSettings(), random.Random(1))
             placement.reserving_services = frozenset({"tracker"})
-            tried = PriorAttempts([other for other in held if chance.random() < 0.3])
+            tried = PriorAttempts([other for other in held if rng.random() < 0.3])
             plain = placement.choose(held, NO_PRIOR_ATTEMPTS, NOW, RouteTerms(priority=0))
             for priority in range(4):
                 for kind in RequestKind:
@@ -188,7 +188,7 @@
 
 
 class TimelyRefusalTest(unittest.TestCase):
-    """Only cold backends are left, and they may take a flow a moment later."""
+    """All backends are cold, and one may take the flow a moment later."""
 
     def answer(self, terms: RouteTerms, copies: int = 0) -> object:
         core = new_core(cold_starts=ColdStartLimits(1.0, 0.0))
@@ -198,28 +198,28 @@
         core.router.backends.update(backend(1, warm_up=5.0), 1, NOW)
         return type(core.router.handle(opening(1, copies), NOW))
 
-    def test_what_cannot_wait_for_its_copy_is_refused_at_once(self) -> None:
+    def test_a_client_that_does_not_wait_for_its_copy_is_refused(self) -> None:
         self.assertIs(self.answer(RouteTerms(timeout_seconds=0.2)), ResetFlow)
 
-    def test_what_can_wait_is_waited_for(self) -> None:
+    def test_a_client_that_waits_for_its_copy_is_not_refused(self) -> None:
         self.assertIs(self.answer(RouteTerms(timeout_seconds=2.0)), DropPacket)
         self.assertIs(self.answer(RouteTerms()), DropPacket)
 
-    def test_a_copy_is_not_refused_as_the_packet_before_may_be_at_a_backend(self) -> None:
+    def test_a_copy_is_not_refused_as_its_flow_may_be_open(self) -> None:
         self.assertIs(self.answer(RouteTerms(timeout_seconds=0.2), copies=1), DropPacket)
 
 
-def random_backend(number: int, chance: random.Random) -> Backend:
+def random_backend(number: int, rng: random.Random) -> Backend:
     """Return a backend in any state that matters to placement."""
-    state = chance.choice([BackendState.READY, BackendState.READY, BackendState.DRAINING])
-    zone = chance.choice([ZONE, "far"])
-    held = Backend(backend(number, state=state, zone=zone, slots=chance.randrange(1, 4)), 1)
-    held.pending, held.busy = chance.randrange(4), chance.randrange(4)
-    held.doubted_until = chance.choice([0.0, NOW + 1])
-    held.failing_until = chance.choice([0.0, 0.0, NOW + 1])
-    held.suspect_until = chance.choice([0.0, 0.0, NOW + 1])
-    held.down_since = chance.choice([None, None, NOW - 1])
-    held.gone_at = chance.choice([None, None, NOW - 1, NOW - 9])
+    state = rng.choice([BackendState.READY, BackendState.READY, BackendState.DRAINING])
+    zone = rng.choice([ZONE, "far"])
+    held = Backend(backend(number, state=state, zone=zone, slots=rng.randrange(1, 4)), 1)
+    held.pending, held.busy = rng.randrange(4), rng.randrange(4)
+    held.doubted_until = rng.choice([0.0, NOW + 1])
+    held.failing_until = rng.choice([0.0, 0.0, NOW + 1])
+    held.suspect_until = rng.choice([0.0, 0.0, NOW + 1])
+    held.down_since = rng.choice([None, None, NOW - 1])
+    held.gone_at = rng.choice([None, None, NOW - 1, NOW - 9])
     return held
 
 
--- a/tests/unit/tokens/test_placement_by_view.py
+++ b/tests/unit/tokens/test_placement_by_view.py
@@ -1,4 +1,4 @@
-"""Which backend new flows get, and what a node concludes from its flows."""
+"""Placement of new flows by load and by the observed answers of backends."""
 
 import unittest
 from collections import Counter
@@ -54,7 +54,7 @@
         router.handle(packet(2, token=other_token, data_length=100), 1.3)
         self.assertEqual(forwarded_to(router.handle(opening(4), 1.4)), identity)
 
-    def test_flows_that_end_or_rest_too_long_count_no_more(self) -> None:
+    def test_ended_and_idle_flows_do_not_count(self) -> None:
         router = make_router(backend(1))
         _, token = open_flow(router, 1, 1.0)
         open_flow(router, 2, 1.0)
@@ -75,14 +75,14 @@
         counts = Counter(forwarded_to(router.handle(opening(n), 1.0)) for n in range(100))
         self.assertEqual(counts, {1: 90, 2: 10})
 
-    def test_a_part_without_backends_is_made_up_by_the_other(self) -> None:
+    def test_flows_of_a_part_without_backends_go_to_the_other(self) -> None:
         router = make_router(backend(1), services=("tracker", "labeller"))
         counts = Counter(forwarded_to(router.handle(opening(n), 1.0)) for n in range(10))
         self.assertEqual(counts, {1: 10})
 
 
 class SilentBackendTest(unittest.TestCase):
-    def test_a_backend_that_does_not_answer_is_passed_over_and_tried_again(self) -> None:
+    def test_a_backend_that_does_not_answer_is_avoided_and_tried_later(self) -> None:
         router = make_router(backend(1), backend(2))
         silent = router.backends.of_service("tracker")[0]
         for client in range(30):
@@ -101,7 +101,7 @@
         later = [forwarded_to(router.handle(opening(200 + n), after)) for n in range(6)]
         self.assertIn(1, later)
 
-    def test_the_longer_it_does_not_answer_the_rarer_it_is_tried(self) -> None:
+    def test_each_failure_doubles_the_suspicion_up_to_a_limit(self) -> None:
         router = make_router(backend(1))
         held = router.backends.of_service("tracker")[0]
         lengths = []
@@ -113,17 +113,17 @@
         self.assertLess(lengths[0], 0.0)
         self.assertEqual([round(length) for length in lengths[1:]], [1, 2, 4, 8, 8, 8, 8])
 
-    def test_requests_that_are_repeated_again_and_again_make_a_backend_suspect(self) -> None:
-        """Found by incident inc-30a1: flows of a crashed backend waited, and nothing told so."""
-        heard: list[Decision] = []
-        router = make_router(backend(1), decisions=heard)
+    def test_repeated_requests_make_a_backend_suspect(self) -> None:
+        """Guards against flows that wait for a crashed backend unnoticed."""
+        decisions: list[Decision] = []
+        router = make_router(backend(1), decisions=decisions)
         held = router.backends.of_service("tracker")[0]
         tokens = [open_flow(router, client, 1.0)[1] for client in range(2)]
         for now in (2.0, 2.2, 2.6):
             for client, token in enumerate(tokens):
                 again = packet(client, token=token, sequence=9, data_length=50)
                 router.handle(again, now)
-        stalls = [decision for decision in heard if isinstance(decision, RequestStalled)]
+        stalls = [decision for decision in decisions if isinstance(decision, RequestStalled)]
         self.assertEqual([(stall.repeats, stall.stalled) for stall in stalls], [(2, 1), (2, 2)])
         self.assertAlmostEqual(stalls[0].seconds, 0.6)
         self.assertGreater(held.suspect_until, 2.6)
@@ -131,7 +131,7 @@
             router.handle(packet(client, token=token, sequence=59, acknowledged=700), 2.7)
         self.assertEqual((held.stalled, held.busy), (0, 0))
 
-    def test_far_clients_make_a_node_more_patient(self) -> None:
+    def test_late_answers_extend_the_opening_timeout(self) -> None:
         router = make_router(backend(1))
         held = router.backends.of_service("tracker")[0]
         for client in range(10):
@@ -156,8 +156,8 @@
         open_flow(router, 50, 2.1)
         self.assertEqual((held.failures, held.suspect_until), (0, 0.0))
 
-    def test_a_whole_service_that_goes_at_once_serves_on_for_a_moment(self) -> None:
-        """The store at times forgets backends that live; they announce themselves again."""
+    def test_a_service_without_listed_backends_is_used_for_the_grace_time(self) -> None:
+        """The store sometimes loses live backends, which then write their records again."""
         router = make_router(backend(1), backend(2))
         for record in (backend(1), backend(2)):
             router.backends.remove(record.name, now=10.0)
--- a/tests/unit/tokens/test_route_table.py
+++ b/tests/unit/tokens/test_route_table.py
@@ -1,4 +1,4 @@
-"""Routes in force: parts take turns by weight, over one node and over a whole fleet."""
+"""Weighted round robin over the parts of a route, at one node and in a fleet."""
 
 import random
 import unittest
@@ -38,14 +38,14 @@
         found = shares(self.make_tables(1, a=7, b=2, c=1), 100)
         self.assertEqual(found, {"a": 0.7, "b": 0.2, "c": 0.1})
 
-    def test_a_fleet_keeps_to_them_where_each_node_sees_few_flows(self) -> None:
-        """All nodes began with the heaviest part: it got all of the first flows."""
+    def test_a_fleet_keeps_to_the_weights_with_few_flows_per_node(self) -> None:
+        """Guards against a common start, which sent the first flows of all nodes to one part."""
         for flows in (1, 2, 3):
             with self.subTest(flows=flows):
                 found = shares(self.make_tables(NODES, a=7, b=3), flows)
                 self.assertAlmostEqual(found["a"], 0.7, delta=0.06)
 
-    def test_a_new_version_goes_on_where_the_one_before_stood(self) -> None:
+    def test_a_new_version_keeps_the_round_robin_state(self) -> None:
         tables = self.make_tables(1, a=1, b=1)
         route = tables[0].find(DESTINATION)
         assert route is not None
--- a/tests/unit/tokens/test_route_terms.py
+++ b/tests/unit/tokens/test_route_terms.py
@@ -1,4 +1,4 @@
-"""Terms of routes: read from the store, told between nodes of one version and of two."""
+"""Terms of routes: reading from the store, and exchange between nodes of one or two releases."""
 
 import json
 import unittest
@@ -53,11 +53,11 @@
         self.assertFalse(TERMS.repeatable)
         self.assertTrue(read(type="safe").repeatable)
 
-    def test_what_is_missing_is_not_promised(self) -> None:
+    def test_missing_terms_have_defaults(self) -> None:
         self.assertEqual(read(), DEFAULT_TERMS)
         self.assertEqual((DEFAULT_TERMS.objective_seconds, DEFAULT_TERMS.repeatable), (None, False))
 
-    def test_a_term_that_cannot_be_read_gets_its_default_and_is_told(self) -> None:
+    def test_an_unreadable_term_gets_its_default_and_is_reported(self) -> None:
         bad: dict[str, tuple[Any, ...]] = {
             "type": ("sfae", None, 3, ["safe"]),
             "timeout_ms": ("2672", -1, 0, None, True, float("nan"), float("inf")),
@@ -71,7 +71,7 @@
                     terms = read(**good, **{key: value})
                     self.assertEqual(terms, read(**good)._replace(unreadable=(FIELDS[key],)))
 
-    def test_the_configuration_with_a_bad_term_stays_in_force(self) -> None:
+    def test_a_configuration_with_a_bad_term_is_accepted(self) -> None:
         entry = {"version": 3, "routes": [ROUTE | WIRE | {"priority": "x"}]}
         body = store_encoding.encode_list(
             [store_encoding.encode_object("main", 5, 1, entry)], False, 5
@@ -87,7 +87,7 @@
         batch = store_objects.read_changes(_json(changes), 1, store_objects.translate_configuration)
         self.assertEqual((len(batch.changes), batch.unreadable), (1, ()))
 
-    def test_a_node_counts_and_tells_of_it_once_a_version(self) -> None:
+    def test_unreadable_terms_are_counted_once_per_version(self) -> None:
         core = make_core(ALL_MECHANISMS)
         faulty = with_terms(4, TERMS._replace(unreadable=("priority", "kind")))
         for _ in range(2):
@@ -95,7 +95,7 @@
         self.assertEqual(core.router.counters["terms_unreadable"], 2)
         self.assertEqual(terms_in_force(core).objective_seconds, 0.427)
 
-    def test_stand_ins_write_what_is_read(self) -> None:
+    def test_stand_ins_write_terms_that_are_read_back(self) -> None:
         for terms in (DEFAULT_TERMS, TERMS, FEED):
             before = with_terms(4, terms)
             entry = store_encoding.encode_configuration(before)
@@ -103,14 +103,14 @@
 
 
 class PeersTest(unittest.TestCase):
-    def test_terms_travel_whole(self) -> None:
+    def test_terms_are_exchanged_completely(self) -> None:
         faulty = TERMS._replace(unreadable=("priority",))
         odd = RouteTerms(None, 0.001, 7, RequestKind.DOWNLOAD)
         for terms in (DEFAULT_TERMS, TERMS, FEED, odd, faulty):
             before = with_terms(4, terms)
             self.assertEqual(configuration_from_list(configuration_to_list(before)), before)
 
-    def test_default_terms_cost_nothing(self) -> None:
+    def test_default_terms_are_not_sent(self) -> None:
         fields = configuration_to_list(with_terms(4, DEFAULT_TERMS))[1][0]
         self.assertEqual(len(fields), 3)
 
@@ -119,8 +119,8 @@
         difference = difference_between(first, second)
         assert difference is not None
         self.assertEqual(len(difference.changed), 1)
-        told = difference_from_list(difference_to_list(difference))
-        self.assertEqual(apply_difference(first, told), second)
+        decoded = difference_from_list(difference_to_list(difference))
+        self.assertEqual(apply_difference(first, decoded), second)
         core = make_core(ALL_MECHANISMS)
         for revision, record in ((4, first), (5, second)):
             core.take_configuration((make_change(revision, record),), 10.0)
@@ -128,16 +128,16 @@
         core.take_configuration((make_change(6, first),), 10.0)
         self.assertEqual(terms_in_force(core), FEED)
 
-    def test_a_kind_of_a_later_version_counts_as_unsafe(self) -> None:
+    def test_a_kind_of_a_later_release_counts_as_unsafe(self) -> None:
         fields = configuration_to_list(with_terms(4, FEED))
         fields[1][0][3][3] = 9
         self.assertIs(configuration_from_list(fields).routes[0].terms.kind, RequestKind.UNSAFE)
 
 
-class EarlierVersionTest(unittest.TestCase):
-    """A node of the version before sends routes of three fields and does not say `tells_terms`."""
+class EarlierReleaseTest(unittest.TestCase):
+    """A node of the previous release sends routes of three fields, without `tells_terms`."""
 
-    def test_its_configuration_is_taken_with_default_terms(self) -> None:
+    def test_its_configuration_gets_default_terms(self) -> None:
         configuration = configuration_from_list(as_earlier(with_terms(4, TERMS)))
         self.assertEqual(configuration.routes[0].terms, DEFAULT_TERMS)
         self.assertFalse(configuration.tells_terms)
@@ -146,7 +146,7 @@
         name, destination, parts = configuration_to_list(with_terms(4, TERMS))[1][0][:3]
         self.assertEqual((name, destination, parts), ("route", DESTINATION, [["tracker", 1.0]]))
 
-    def test_what_it_told_is_no_base_for_differences(self) -> None:
+    def test_its_configuration_is_no_base_for_differences(self) -> None:
         core = make_core(ALL_MECHANISMS)
         earlier = configuration_from_list(as_earlier(with_terms(4, TERMS)))
         core.take_configuration((make_change(4, earlier),), 10.0)
@@ -159,13 +159,13 @@
         delta = ViewDelta(4, 5, (make_change(5, with_terms(5, TERMS)),))
         base = ConfigurationCodec(sender).choose_base(bases)
         codec = ConfigurationCodec(sender)
-        told = codec.decode(codec.encode(delta, base)).changes
-        core.take_configuration(told, 10.0)
+        decoded = codec.decode(codec.encode(delta, base)).changes
+        core.take_configuration(decoded, 10.0)
         self.assertEqual(terms_in_force(core), TERMS)
 
 
 def as_earlier(record: RoutingConfiguration) -> list[Any]:
-    """Return the fields of a configuration as a node of the version before sends them."""
+    """Return the fields of a configuration as a node of the previous release sends them."""
     version, routes, idle_seconds, warm_ups = configuration_to_list(record)[:4]
     return [version, [fields[:3] for fields in routes], idle_seconds, warm_ups]
 
--- a/tests/unit/tokens/test_router.py
+++ b/tests/unit/tokens/test_router.py
@@ -1,4 +1,4 @@
-"""What the token router decides for one packet."""
+"""Decisions of the token router for single packets."""
 
 import unittest
 
@@ -64,8 +64,8 @@
         router.handle(opening(1), now=1.0)
         self.assertEqual(forwarded_to(router.handle(opening(1, copies=1), now=1.2)), 7)
 
-    def test_copies_that_waited_together_go_to_one_backend(self) -> None:
-        """Found by the simulator: a client that got two answers sent the wrong one's token."""
+    def test_copies_that_arrive_together_go_to_one_backend(self) -> None:
+        """Guards against answers of two backends, after which a client used the wrong token."""
         router = make_router(backend(7), backend(8))
         first = router.handle(opening(1), now=1.0)
         second = router.handle(opening(1, copies=1), now=1.001)
@@ -110,13 +110,13 @@
             assert isinstance(command, ForwardPacket)
             self.assertEqual((command.identity, command.token), (self.identity, NO_TOKEN))
 
-    def test_a_node_that_has_just_started_sends_them_there_too(self) -> None:
+    def test_a_node_that_has_just_started_forwards_them_too(self) -> None:
         other = make_router(*self.records)
         command = other.handle(packet(1, token=self.token), now=0.1)
         self.assertEqual(forwarded_to(command), self.identity)
 
-    def test_a_changed_route_moves_no_open_flow_also_on_a_node_without_history(self) -> None:
-        """Found by quiet-1 of vtl-suva: nodes added after the change dropped the tokens."""
+    def test_a_route_change_moves_no_open_flow_even_at_a_new_node(self) -> None:
+        """Guards against dropping valid tokens at nodes that started after the change."""
         labellers = [backend(number, "labeller") for number in range(20, 24)]
         fresh = make_router(*self.records, *labellers, services=("labeller",), version=9)
         command = fresh.handle(packet(1, token=self.token), now=0.1)
@@ -134,8 +134,8 @@
             forwarded_to(self.router.handle(packet(1, token=self.token), now=50.0)), self.identity
         )
 
-    def test_an_address_that_passed_on_gets_no_packets_and_the_client_is_told_at_once(self) -> None:
-        """Found by inc-30a1: clients of a crashed backend waited although it had a successor."""
+    def test_a_packet_to_a_reassigned_address_is_answered_with_a_reset(self) -> None:
+        """Guards against clients that wait for a crashed backend with a successor."""
         self.router.handle(packet(1, token=self.token), now=1.5)
         successor = backend(99, "labeller", port=8000 + self.identity)
         self.router.backends.update(successor, 60, now=2.0)
@@ -150,7 +150,7 @@
             )
 
     def test_of_two_incarnations_in_one_list_the_later_one_has_the_address(self) -> None:
-        """A list names a crashed backend until three heartbeats have passed, in any order."""
+        """A list contains a crashed backend until it has missed three heartbeats, in any order."""
         for first, second in ((5, 9), (9, 5)):
             router = make_router()
             router.backends.update(backend(1, port=8001), first, now=0.0)
@@ -175,22 +175,22 @@
 
 
 class DecisionsTest(unittest.TestCase):
-    def test_openings_refusals_drops_and_missing_answers_are_told(self) -> None:
-        heard: list[Decision] = []
-        router = make_router(backend(7), decisions=heard)
+    def test_openings_refusals_drops_and_missing_answers_are_reported(self) -> None:
+        decisions: list[Decision] = []
+        router = make_router(backend(7), decisions=decisions)
         router.handle(opening(1), now=1.0)
         router.handle(opening(2, destination=OTHER_DESTINATION), now=1.0)
         router.handle(packet(3, token=5), now=1.0)
         router.advance(now=2.0)
         self.assertEqual(
-            [type(decision) for decision in heard],
+            [type(decision) for decision in decisions],
             [FlowPlaced, FlowRefused, PacketDropped, OpeningUnanswered],
         )
-        placed = heard[0]
+        placed = decisions[0]
         assert isinstance(placed, FlowPlaced)
         self.assertEqual((placed.backend, placed.version, placed.candidates), ("i-00000007", 1, 1))
 
-    def test_a_version_never_goes_back(self) -> None:
+    def test_the_version_never_decreases(self) -> None:
         router = make_router(backend(7), version=5)
         self.assertFalse(router.put_in_force(configuration(4, "labeller")))
         self.assertFalse(router.put_in_force(configuration(5, "labeller")))
--- a/tests/unit/tokens/test_token.py
+++ b/tests/unit/tokens/test_token.py
@@ -39,12 +39,12 @@
         token = TokenCodec(bytes(16)).mint(flow_id(5), 77)
         self.assertIsNone(self.find(5, token))
 
-    def test_made_up_tokens_are_hardly_ever_decoded(self) -> None:
+    def test_forged_tokens_are_rarely_decoded(self) -> None:
         bucket = bucket_of_identity(77) << 20
         decoded = [proof for proof in range(0, 20_000) if self.find(5, bucket | proof) is not None]
         self.assertLessEqual(len(decoded), 2)
 
-    def test_a_token_is_never_the_mark_of_an_opening(self) -> None:
+    def test_a_token_never_equals_no_token(self) -> None:
         tokens = {self.codec.mint(flow_id(client), 1) for client in range(2000)}
         self.assertNotIn(NO_TOKEN, tokens)
 
