--- a/src/beamloom/routing/tokens/answer_sizes.py
+++ b/src/beamloom/routing/tokens/answer_sizes.py
@@ -1,7 +1,8 @@
 """Detects answers that are much shorter than usual for their destination.
 
 A node does not read answers, but observes how much a client acknowledges. Error answers are short,
-so short answers show that a backend fails which opens flows and takes requests.
+so short answers at several nodes identify a failing backend that still opens flows and takes
+requests.
 """
 
 from __future__ import annotations
--- a/src/beamloom/routing/tokens/cold_starts.py
+++ b/src/beamloom/routing/tokens/cold_starts.py
@@ -18,7 +18,7 @@
 SENDERS_OF_A_BACKEND = 2
 """Nodes that may open flows at one cold backend; more than one, as the first may be down."""
 DISAGREEMENT_FACTOR = 2
-"""While views of the fleet differ, up to this factor more nodes may count themselves as senders."""
+"""How many times as many nodes may act as senders while views of the fleet differ."""
 WINDOW_SECONDS = 1.2
 """The limit applies to any second; the rest allows for different delays of opening packets."""
 
--- a/src/beamloom/routing/tokens/flow_observer.py
+++ b/src/beamloom/routing/tokens/flow_observer.py
@@ -190,13 +190,13 @@
         elif flow.backend is not backend:
             self._move_to(flow, backend)
         if not flow.opened:
-            self._note_answered(flow, now)
+            self._note_opened(flow, now)
         if packet.data_length:
             self._note_data(flow, packet, now)
         elif flow.busy and packet.acknowledged != flow.acknowledged:
             self._set_busy(flow, False)
             self._end_stall(flow)
-            self._note_answer(flow, now)
+            self._note_answer_time(flow, now)
             self._check_answer_size(flow, packet, now)
         flow.token = packet.token
         flow.acknowledged = packet.acknowledged
@@ -249,7 +249,7 @@
         flow.phase = FlowPhase.OPENING
         backend.pending += 1
 
-    def _note_answered(self, flow: ObservedFlow, now: float) -> None:
+    def _note_opened(self, flow: ObservedFlow, now: float) -> None:
         backend = flow.backend
         if flow.opening_at is not None:
             self.opening_seconds.observe(now - flow.opening_at)
@@ -290,8 +290,8 @@
             self._end_stall(flow)
             flow.sequence = packet.sequence
             flow.requested_at = now
-            patience = self.find_patience(packet.destination)
-            flow.due_at = None if patience is None else now + patience
+            limit_seconds = self.find_patience(packet.destination)
+            flow.due_at = None if limit_seconds is None else now + limit_seconds
             self._request_checks.append((now + QUIET_SECONDS, packet.flow, packet.sequence))
             return
         flow.repeats += 1
@@ -334,7 +334,7 @@
         waits = flow is not None and flow.busy and flow.sequence == sequence and not flow.repeats
         return flow if waits else None
 
-    def _note_answer(self, flow: ObservedFlow, now: float) -> None:
+    def _note_answer_time(self, flow: ObservedFlow, now: float) -> None:
         seconds = now - flow.requested_at
         self.answer_seconds.observe(seconds)
         flow.backend.pace.note(seconds, now)
--- a/src/beamloom/routing/tokens/records.py
+++ b/src/beamloom/routing/tokens/records.py
@@ -71,7 +71,7 @@
 
 
 class RouteTerms(NamedTuple):
-    """Service levels of a route's requests; times are whole milliseconds, or None if not set.
+    """Service levels of a route's requests; times are rounded to milliseconds, None if not set.
 
     Answers are due within `objective_seconds`, and clients give up after `timeout_seconds`.
     Priority 0 is the highest. `unreadable` names the fields that have their defaults because their
