--- a/tests/unit/tokens/test_mechanisms.py
+++ b/tests/unit/tokens/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Each mechanism can be switched off by its name, and then the node does something else."""
+"""Each mechanism can be switched off by name, which changes what a node does."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 from beamloom.replication.stop_turns import HESITATION_SECONDS, StopState
 from beamloom.replication.store_view import StoreView
 from beamloom.replication.view_transfer import pack
-from beamloom.routing.tokens.answer_pace import SAMPLES_NEEDED
+from beamloom.routing.tokens.answer_pace import MIN_SAMPLES
 from beamloom.routing.tokens.backend_table import Backend
 from beamloom.routing.tokens.configuration_history import ConfigurationHistory
 from beamloom.routing.tokens.packets import ForwardPacket
@@ -72,7 +72,7 @@
     settings = placement_settings(3.0, mechanisms)
     router = make_router(backend(1), backend(2, zone="far"), settings=settings)
     for held, seconds in zip(router.backends.of_service("tracker"), (0.5, 0.05), strict=True):
-        for _ in range(SAMPLES_NEEDED):
+        for _ in range(MIN_SAMPLES):
             held.pace.note(seconds, 0.0)
     command = router.handle(opening(1), 0.0)
     assert isinstance(command, ForwardPacket)
@@ -272,9 +272,9 @@
     core.take_configuration((make_change(12, many_routes(1, 50)),), NOW)
     core.configuration.apply([make_change(20, record)], 20)
     core.take_configuration((make_change(20, record),), NOW)
-    told = shared.encode_for(ViewRequest(1, 12, versions=[1]))
-    assert told is not None
-    return len(told) < 2 * len(whole)
+    encoded = shared.encode_for(ViewRequest(1, 12, versions=[1]))
+    assert encoded is not None
+    return len(encoded) < 2 * len(whole)
 
 
 def flow_bound_tokens(mechanisms: Mechanisms) -> object:
@@ -388,7 +388,7 @@
         self.assertIn("no such mechanism: speed", str(caught.exception))
         self.assertIn("own_zone", str(caught.exception))
 
-    def test_each_one_is_explained(self) -> None:
+    def test_each_mechanism_is_documented(self) -> None:
         for name in Mechanisms._fields:
             self.assertIn(f"    {name}: ", Mechanisms.__doc__ or "")
 
