--- a/src/beamloom/replication/kept_words.py
+++ b/src/beamloom/replication/kept_words.py
@@ -1,4 +1,4 @@
-"""Gives up, after a while, the words that a view holds on to against a restored store's copy."""
+"""Limits how long a view retains records that a restored store does not confirm."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class KeptWords(Generic[Record]):
-    """The timer of one view; `apply` is called with what changes, and the time."""
+    """The retention timer of one view; it calls `apply` with the resulting changes and the time."""
 
     def __init__(
         self,
@@ -22,10 +22,10 @@
         self._view = view
         self._apply = apply
         self._era: int | None = None
-        self._since = 0.0
+        self._started_at = 0.0
 
     def advance(self, now: float) -> None:
-        """Let time pass; what nobody has repeated for long enough is as the store says."""
+        """Give up the retained records once they were held in one era for `settle_seconds`."""
         view = self._view
         seconds = view.order.settle_seconds
         if view.revision is None or not view.keeps_words or seconds is None:
@@ -33,7 +33,7 @@
             return
         era = era_of(view.revision)
         if era != self._era:
-            self._era, self._since = era, now
-        elif now - self._since >= seconds:
+            self._era, self._started_at = era, now
+        elif now - self._started_at >= seconds:
             self._era = None
             self._apply(view.settle(), now)
--- a/src/beamloom/replication/object_watch.py
+++ b/src/beamloom/replication/object_watch.py
@@ -220,7 +220,7 @@
             self.found_nothing = True
             return ()
         self._holds_stale = True
-        return self.view.take_unconfirmed(records)
+        return self.view.load_unconfirmed(records)
 
     def _take_list(
         self, records: list[NamedRecord[Record]], revision: int, asked_at: float
--- a/src/beamloom/replication/record_order.py
+++ b/src/beamloom/replication/record_order.py
@@ -1,9 +1,9 @@
-"""What the writers of a kind of object tell of the order of their words.
+"""How records of one kind are ordered where the store's revisions do not decide.
 
-Within an era of the store its revisions order all changes. Across two they do not: the copy that a
-store came back from may hold older words than a node knows, lack objects, and hold some that had
-gone. Their writers repeat what they wrote, within a time that depends on the kind. Until then a
-node holds on to what it knows, as a record's own marks tell that it is newer.
+Within an era of the store its revisions order all changes. Across eras they do not: the copy from
+which a store was restored may contain older records than a node holds, lack objects, and contain
+objects that had been removed. Writers repeat their records within a time that depends on the kind.
+Until then a node retains the records that are newer by their own marks, such as a sequence number.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 Record = TypeVar("Record")
 
 UNMARKED = -1
-"""In place of a mark, and below all of them."""
+"""Stands for a missing mark; lower than every mark."""
 
 
 class RecordOrder(ABC, Generic[Record]):
-    """The order of the words of one kind's writers.
+    """The order of the records of one kind.
 
-    A word that is newer than the copy's is kept for `settle_seconds`; by then its writer has
-    repeated it, or it no longer holds. With None it is kept for good, in any era: then a record's
-    own marks always decide. With `keeps_missing`, so is an object that the copy lacks, or, where
-    words are kept for good, one whose removal the store tells or that it holds unreadable.
+    A record that is newer than a restored store's is retained for `settle_seconds`; by then its
+    writer has repeated it, or it is obsolete. With None it is kept for good, in any era, as the
+    records' own marks always decide. With `keeps_missing`, objects that the restored store lacks
+    are retained too; where records are kept for good, so are removed and unreadable ones.
     """
 
     settle_seconds: float | None
@@ -31,31 +31,31 @@
 
     @abstractmethod
     def is_older(self, told: Record, known: Record) -> bool:
-        """Whether the store's word of an object is older than the known one."""
+        """Whether the store's record of an object is older than the known one."""
 
     def is_same(self, told: Record, known: Record) -> bool:
-        """Whether two words of an object tell the same."""
+        """Whether two records of an object are equivalent."""
         return told == known
 
     def mark(self, _record: Record) -> int:
-        """Return how far a record is by its own marks; UNMARKED where these do not decide."""
+        """Return the number that orders a record; UNMARKED if marks do not always decide."""
         return UNMARKED
 
     def is_new_life(self, _told: Record, _ended: Record) -> bool:
-        """Whether an object that had gone, and that a copy holds, was surely made anew since."""
+        """Whether a removed object that a restored store lists was certainly created again."""
         return False
 
 
 class NoOrder(RecordOrder[Record]):
-    """Of writers who tell nothing: what the store says holds at once."""
+    """The order of records without marks: the store's records take effect at once."""
 
     settle_seconds = 0.0
     keeps_missing = False
 
     def is_older(self, _told: Record, _known: Record) -> bool:
-        """Nothing is known to be older."""
+        """Return False: without marks no record is known to be older."""
         return False
 
     def is_new_life(self, _told: Record, _ended: Record) -> bool:
-        """Whatever the store holds is there."""
+        """Return True: every object that the store lists exists."""
         return True
--- a/tests/measurements/exchange_bytes.py
+++ b/tests/measurements/exchange_bytes.py
@@ -153,7 +153,7 @@
     network.run(WATCHED_SECONDS - EVENT_SECONDS)
     report("cold zone", network, since)
     since = network.now
-    listed = dict(readers[0].view._present)
+    listed = dict(readers[0].view._stored)
     revision = readers[0].view.revision or 0
     network.start_all()
     for node in network.nodes.values():
--- a/tests/unit/views/test_store_view.py
+++ b/tests/unit/views/test_store_view.py
@@ -1,4 +1,4 @@
-"""Views of the store: they go on, never back, whoever tells them."""
+"""Views of the store: a view never goes back, whether the store or a peer updates it."""
 
 import random
 import unittest
@@ -9,7 +9,7 @@
 
 
 class FakeStore:
-    """Objects with one counter of revisions, and what a list and a watch would tell."""
+    """Objects with one revision counter, and the answers to a list and to a watch."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -41,7 +41,7 @@
 
 
 class StoreViewTest(unittest.TestCase):
-    def test_a_list_tells_what_differs(self) -> None:
+    def test_replace_returns_the_differences(self) -> None:
         view: View = StoreView()
         view.replace([NamedRecord("a", 1, "A"), NamedRecord("b", 2, "B")], 5)
         changes = view.replace([NamedRecord("b", 2, "B"), NamedRecord("c", 7, "C")], 8)
@@ -55,7 +55,7 @@
         self.assertEqual(view.replace([], 7), ())
         self.assertEqual((len(view), view.revision), (1, 8))
 
-    def test_a_peer_that_is_behind_gets_what_it_lacks_and_tombstones(self) -> None:
+    def test_a_delta_contains_missing_changes_and_removals(self) -> None:
         view: View = StoreView()
         view.replace([NamedRecord("a", 1, "A"), NamedRecord("b", 2, "B")], 5)
         behind: View = StoreView()
@@ -64,11 +64,11 @@
         delta = view.since(5)
         assert delta is not None
         self.assertEqual(len(delta.changes), 2)
-        news = behind.merge(delta)
-        self.assertEqual({(c.name, c.record) for c in news or ()}, {("c", "C"), ("a", None)})
+        merged = behind.merge(delta)
+        self.assertEqual({(c.name, c.record) for c in merged or ()}, {("c", "C"), ("a", None)})
         self.assertEqual(behind.revision, 7)
 
-    def test_a_peer_further_behind_than_the_tombstones_gets_everything(self) -> None:
+    def test_a_peer_behind_the_oldest_tombstone_gets_everything(self) -> None:
         view: View = StoreView()
         view.replace([NamedRecord("a", 1, "A")], 50)
         behind: View = StoreView()
@@ -78,7 +78,7 @@
         self.assertEqual(delta.since, EVERYTHING)
         self.assertEqual([(c.name, c.record) for c in behind.merge(delta) or ()], [("b", None)])
 
-    def test_a_delta_with_a_gap_or_without_news_is_not_taken(self) -> None:
+    def test_a_delta_with_a_gap_or_without_changes_is_not_merged(self) -> None:
         source: View = StoreView()
         source.replace([], 10)
         source.apply((ObjectChange("a", 12, "A"),), 12)
@@ -92,19 +92,19 @@
         self.assertIsNone(ahead.merge(delta))
         self.assertIsNone(source.since(12))
 
-    def test_an_object_that_goes_and_comes_back_in_one_batch_is_there(self) -> None:
+    def test_an_object_removed_and_recreated_in_one_batch_exists(self) -> None:
         view: View = StoreView()
         view.replace([NamedRecord("a", 1, "A")], 5)
         view.apply((ObjectChange("a", 1, None), ObjectChange("a", 7, "A2")), 9)
         self.assertEqual(contents(view), {"a": "A2"})
 
-    def test_events_older_than_a_list_of_several_pages_do_no_harm(self) -> None:
+    def test_changes_older_than_a_listed_record_are_ignored(self) -> None:
         view: View = StoreView()
         view.replace([NamedRecord("a", 60, "new")], 50)
         view.apply((ObjectChange("a", 55, "old"), ObjectChange("a", 40, None)), 58)
         self.assertEqual(contents(view), {"a": "new"})
 
-    def test_confirmations_only_get_later(self) -> None:
+    def test_confirmed_at_never_decreases(self) -> None:
         view: View = StoreView()
         self.assertTrue(view.confirm(5.0))
         self.assertFalse(view.confirm(4.0))
@@ -112,42 +112,42 @@
 
 
 class RandomHistoryTest(unittest.TestCase):
-    def test_views_that_learn_in_any_order_from_store_and_peers_agree_with_the_store(self) -> None:
+    def test_views_updated_by_store_and_peers_in_any_order_converge(self) -> None:
         for seed in range(60):
             with self.subTest(seed=seed):
-                self.play(random.Random(seed))
+                self.check_convergence(random.Random(seed))
 
-    def play(self, chance: random.Random) -> None:
+    def check_convergence(self, rng: random.Random) -> None:
         store = FakeStore()
         views: list[View] = [StoreView() for _ in range(4)]
         positions = [0] * len(views)
         for view in views:
             store.list_into(view)
         for _ in range(120):
-            self.change(store, chance)
-            index = chance.randrange(len(views))
-            if chance.random() < 0.5:
+            self.change(store, rng)
+            index = rng.randrange(len(views))
+            if rng.random() < 0.5:
                 batch = store.history[views[index].revision or 0 :]
                 views[index].apply(batch, store.revision)
             else:
-                self.tell(views[index], chance.choice(views))
+                self.exchange(views[index], rng.choice(views))
             positions[index] = views[index].revision or 0
         best = max(views, key=lambda view: view.revision or 0)
         for view in views:
-            self.tell(best, view)
+            self.exchange(best, view)
         best.apply(store.history[best.revision or 0 :], store.revision)
         for view in views:
-            self.tell(best, view)
+            self.exchange(best, view)
             self.assertEqual(contents(view), store.contents())
 
-    def change(self, store: FakeStore, chance: random.Random) -> None:
-        name = chance.choice("abcdefgh")
-        if name in store.objects and chance.random() < 0.4:
+    def change(self, store: FakeStore, rng: random.Random) -> None:
+        name = rng.choice("abcdefgh")
+        if name in store.objects and rng.random() < 0.4:
             store.remove(name)
         else:
             store.put(name, f"{name}{store.revision}")
 
-    def tell(self, source: View, target: View) -> None:
+    def exchange(self, source: View, target: View) -> None:
         revision = EVERYTHING if target.revision is None else target.revision
         delta = source.since(revision)
         if delta is not None:
