--- a/src/beamloom/replication/object_watch.py
+++ b/src/beamloom/replication/object_watch.py
@@ -1,12 +1,14 @@
-"""Following one kind of object in a store: list it once, then watch from the list's revision.
-
-Without I/O: `next_request` says what to ask, the other methods take what came of it. After a lost
-history (the store answers that the revision is gone, or answers in a new era) everything is listed
-again; what was believed before stays in force meanwhile. A store that tells no era may have been
-restored whenever a call of it failed, and passed the known number since: it is listed then too. The
-first list may be stale, as an interim; a fresh one, or a peer's view, follows. One that follows a
-lost history must not be stale. A watch tells each version of
-an object that has changed; where that is much, a list follows, which holds the newest only. Pauses
+"""Follows one kind of object in a store: lists it once, then watches from the list's revision.
+
+It does no I/O: `next_request` returns the call to make, the other methods process its outcome.
+After a lost history (the store answers that the revision is gone, or answers in a new era)
+everything is listed again; until then the view stays in effect. A store that reports no era may
+have been restored whenever a call failed, and may have passed the known number since, so a failure
+is followed by a list too.
+
+The first list may be stale, until a fresh list or a peer's view follows. A list that follows a lost
+history must not be stale. A watch returns every version of a changed object; for a kind of few
+objects, a large answer is followed by a list, which contains only the newest versions. Pauses
 after failures are drawn with full jitter (Brooker 2015).
 """
 
@@ -23,15 +25,15 @@
 Record = TypeVar("Record")
 
 LARGE_ANSWER_BYTES = 64 << 10
-"""A watch that told so much is followed by a list, so that a burst of versions is read once."""
+"""A watch answer of this size is followed by a list, so that a burst of versions is read once."""
 FEW_OBJECTS = 4
-"""Where there are no more, a list costs no more than a change."""
+"""Only kinds of at most this many objects are listed after a large answer or a failed watch."""
 
 
 class ListRequest(NamedTuple):
-    """List the objects whose names come after `after`; an empty text begins at the first.
+    """List the objects whose names come after `after`; an empty string begins at the first.
 
-    A `stale` answer may be some seconds old; it costs the store little.
+    A `stale` answer may be some seconds old, and is cheap for the store.
     """
 
     after: str
@@ -45,9 +47,9 @@
 
 
 class ListPage(NamedTuple, Generic[Record]):
-    """One page of a list; `last_name` is where the next page begins, if there is `more`.
+    """One page of a list; if there is `more`, the next page begins after `last_name`.
 
-    `unreadable` tells of objects that were left out, as they are not as they should be.
+    `unreadable` describes invalid objects, which were left out.
     """
 
     records: tuple[NamedRecord[Record], ...]
@@ -58,10 +60,10 @@
 
 
 class ChangeBatch(NamedTuple, Generic[Record]):
-    """What a watch told: the changes, and the revision to go on from.
+    """The answer to a watch: the changes, and the revision to continue from.
 
-    `unreadable` tells of objects that are not as they should be; they are told as gone.
-    `size_bytes` is the length of the answer.
+    `unreadable` describes invalid objects, which are reported as removed. `size_bytes` is the
+    length of the answer.
     """
 
     changes: tuple[ObjectChange[Record], ...]
@@ -74,29 +76,33 @@
 
 
 class OlderAnswerError(ValueError):
-    """A store answered with less than it had told before, although its era has not risen."""
+    """A store answered with a lower revision than before, although it reports no new era."""
 
-    def __init__(self, told: int, known: int) -> None:
+    def __init__(self, answered: int, known: int) -> None:
         super().__init__(
-            f"the answer ends at {number_of(told)} of era {era_of(told)}, {number_of(known)} of era"
-            f" {era_of(known)} is known: the store lost changes without saying so; ask who runs it"
+            f"the answer ends at revision {number_of(answered)} of era {era_of(answered)}, but"
+            f" {number_of(known)} of era {era_of(known)} is known: the store lost changes without"
+            " beginning a new era; contact its operator"
         )
 
 
 class _Listing(Generic[Record]):
-    """The pages of a list that have been read so far."""
+    """The pages of a list that have been read so far.
+
+    `known_revision` is the view's when the first page was requested.
+    """
 
-    __slots__ = ("after", "asked_at", "known", "records", "revision")
+    __slots__ = ("after", "asked_at", "known_revision", "records", "revision")
 
     def __init__(self) -> None:
         self.records: list[NamedRecord[Record]] = []
         self.after = ""
         self.revision: int | None = None
-        self.known: int | None = None
+        self.known_revision: int | None = None
         self.asked_at = 0.0
 
     def move_to_era(self, era: int) -> None:
-        """Count what has been read as of another era of the store."""
+        """Assign what has been read to another era of the store."""
         assert self.revision is not None
         self.revision = revision_in_era(era, number_of(self.revision))
         self.records = [
@@ -106,10 +112,10 @@
 
 
 class ObjectWatch(Generic[Record]):
-    """The state of one reader of one kind; what it reads goes into `view`.
+    """The list and watch state of one kind; the objects read are stored in `view`.
 
-    With `stale_start` the first list may be stale. An empty one is believed only if the kind
-    `may_be_empty`; `found_nothing` tells that it was not.
+    With `stale_start` the first list may be stale. An empty stale list is accepted only if the kind
+    `may_be_empty`; otherwise it is dropped and `rejected_empty_list` is set.
     """
 
     def __init__(
@@ -125,41 +131,41 @@
         self._pauses = FullJitter(FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS, chance)
         self._listing: _Listing[Record] = _Listing()
         self._history_lost = False
-        self._may_be_stale = stale_start
+        self._stale_allowed = stale_start
         self._prefers_list = False
-        self._tells_era = True
+        self._reports_era = True
         self._may_be_restored = False
-        self.found_nothing = False
-        self._holds_stale = False
+        self.rejected_empty_list = False
+        self._has_stale_list = False
 
     @property
     def failures(self) -> int:
-        """How many calls in a row had no usable answer."""
+        """The number of consecutive calls without a usable answer."""
         return self._pauses.failures
 
     def next_request(self) -> ListRequest | WatchRequest:
-        """Return what to ask the store now."""
+        """Return the next request to the store."""
         revision = self._watched_revision
         if revision is not None and not self._prefers_list and not self._may_be_restored:
             return WatchRequest(revision)
         if not self._listing.after:
-            self._listing.known = self.view.revision
-        return ListRequest(self._listing.after, self._may_be_stale)
+            self._listing.known_revision = self.view.revision
+        return ListRequest(self._listing.after, self._stale_allowed)
 
     @property
     def records_read(self) -> int:
-        """How many objects are known, or stand on the pages read so far of a first list."""
+        """The number of objects in the view, or in the pages of a first list read so far."""
         return len(self.view) or len(self._listing.records)
 
     @property
     def must_list(self) -> bool:
-        """Whether only a list can help: nothing is known, or the history is lost."""
+        """Whether a list is needed, as the view has no revision or the history is lost."""
         return self._watched_revision is None
 
     @property
     def holds_stale(self) -> bool:
-        """Whether a stale list is all that is known: only a fresh one tells how far that is."""
-        return self._holds_stale and self.view.revision is None
+        """Whether a stale list is all that was read, so that the view has no revision yet."""
+        return self._has_stale_list and self.view.revision is None
 
     @property
     def _watched_revision(self) -> int | None:
@@ -168,11 +174,12 @@
     def take_page(
         self, page: ListPage[Record], asked_at: float, *, tells_era: bool = True
     ) -> Changes[Record]:
-        """Take one page; return what the whole list changes once its last page is there.
+        """Add one page; return the changes of the whole list after its last page.
 
-        Pages of two eras are of two histories: the list begins again. Raises OlderAnswerError where
-        the store tells an era, and yet less than was known when the list was asked for. Where it
-        tells none, that shows that it was restored, and the list is taken as of the next era.
+        A page of another era than the first belongs to another history, and the list starts over.
+        If the list ends below the revision known when it was requested, a store that reports its
+        era has lost changes, and OlderAnswerError is raised. A store that reports none has been
+        restored, and the list is assigned to the next era.
         """
         listing = self._listing
         if listing.revision is None:
@@ -188,44 +195,48 @@
             self._pauses.reset()
             return ()
         self._listing = _Listing()
-        if self._may_be_stale:
+        if self._stale_allowed:
             self._pauses.reset()
-            return self._take_stale(listing.records)
-        self._tells_era = tells_era
-        if listing.known is not None and listing.revision < listing.known and tells_era:
-            raise OlderAnswerError(listing.revision, listing.known)
-        if not tells_era and self._shows_restore(listing):
+            return self._apply_stale_list(listing.records)
+        self._reports_era = tells_era
+        if (
+            listing.known_revision is not None
+            and listing.revision < listing.known_revision
+            and tells_era
+        ):
+            raise OlderAnswerError(listing.revision, listing.known_revision)
+        if not tells_era and self._implies_restore(listing):
             listing.move_to_era(era_of(self.view.revision or 0) + 1)
         self._pauses.reset()
-        return self._take_list(listing.records, listing.revision, listing.asked_at)
+        return self._apply_list(listing.records, listing.revision, listing.asked_at)
 
-    def _shows_restore(self, listing: _Listing[Record]) -> bool:
-        """Whether a list can only be that of a restored store, which does not tell its era.
+    def _implies_restore(self, listing: _Listing[Record]) -> bool:
+        """Whether a list of a store that reports no era can only come from a restored store.
 
-        It ends below what the store had told before, or goes on from another history.
+        It ends below the revision known when it was requested, or contradicts the view's history.
         """
         assert listing.revision is not None
         known = self.view.revision
         if known is None:
             return False
-        if listing.known is not None and listing.revision < listing.known:
+        if listing.known_revision is not None and listing.revision < listing.known_revision:
             return True
         if listing.revision < known:
             return False
         return self.view.contradicts(listing.records, listing.revision)
 
-    def _take_stale(self, records: list[NamedRecord[Record]]) -> Changes[Record]:
-        self._may_be_stale = False
+    def _apply_stale_list(self, records: list[NamedRecord[Record]]) -> Changes[Record]:
+        self._stale_allowed = False
         if not records and not self._may_be_empty:
-            self.found_nothing = True
+            self.rejected_empty_list = True
             return ()
-        self._holds_stale = True
+        self._has_stale_list = True
         return self.view.load_unconfirmed(records)
 
-    def _take_list(
+    def _apply_list(
         self, records: list[NamedRecord[Record]], revision: int, asked_at: float
     ) -> Changes[Record]:
-        """Take a whole list, unless peers have told more while it was under way."""
+        """Apply a complete list, unless peers brought the view to a higher revision meanwhile."""
         self._history_lost = self._may_be_restored = False
         if self.view.revision is not None and revision < self.view.revision:
             return ()
@@ -237,14 +248,14 @@
     def take_changes(
         self, batch: ChangeBatch[Record], now: float, *, tells_era: bool = True
     ) -> Changes[Record]:
-        """Take what a watch told just now; the next watch goes on from there.
+        """Apply the answer to a watch; the next watch continues from its revision.
 
-        An answer that was held up on its way makes `now` too late by at most the call's patience.
-        In a later era than the view's, it tells nothing of the changes before its first: the store
-        gives numbers out again, so that it may well have the one that was asked from. Raises
-        OlderAnswerError where it comes from an era that is over.
+        A delayed answer makes the confirmation at `now` too late by at most the call's timeout. An
+        answer of a later era than the view's is discarded and a list follows: numbers are reused in
+        the new era, so changes below the watched number would be missing. Raises OlderAnswerError
+        if the answer is of a former era.
         """
-        self._tells_era = tells_era
+        self._reports_era = tells_era
         known = self.view.revision
         if known is not None and era_of(batch.revision) < era_of(known):
             raise OlderAnswerError(batch.revision, known)
@@ -258,19 +269,19 @@
         return changes
 
     def take_lost_history(self) -> None:
-        """Begin again with a list: the store no longer knows the view's revision."""
+        """List everything again, as the store no longer has the view's revision."""
         self._pauses.reset()
         self._history_lost = True
-        self._may_be_stale = False
+        self._stale_allowed = False
         self._listing = _Listing()
 
     def take_failure(self, shared_pause_seconds: float = 0.0) -> float:
-        """Note a call without a usable answer; return the seconds to wait before the next.
+        """Record a call without a usable answer; return the seconds to wait before the next.
 
-        A watch may have failed because it had too much to tell.
+        A watch may have failed because its answer was too large, so a small kind is listed next.
         """
         self._prefers_list = self._is_small
-        self._may_be_restored = not self._tells_era
+        self._may_be_restored = not self._reports_era
         return self._pauses.next_pause(shared_pause_seconds)
 
     @property
--- a/src/beamloom/replication/reading_turn.py
+++ b/src/beamloom/replication/reading_turn.py
@@ -102,7 +102,7 @@
         Where a stale list was empty, the fleet starts for the first time, and operators have yet to
         write: of 146 nodes that started together each made a call more at full price, to no avail.
         """
-        waits = self._begins_with_peers or self._watch.found_nothing
+        waits = self._begins_with_peers or self._watch.rejected_empty_list
         if not waits or self._watch.view.revision is not None:
             return False
         if self._lists_from is None:
--- a/tests/unit/views/test_object_watch.py
+++ b/tests/unit/views/test_object_watch.py
@@ -1,4 +1,4 @@
-"""Following one kind of object: lists of several pages, watches, lost history, pauses."""
+"""Listing and watching one kind of object: several pages, lost history, restores, pauses."""
 
 import random
 import unittest
@@ -32,7 +32,7 @@
         self.watch: ObjectWatch[str] = ObjectWatch(self.view, random.Random(1))
 
     def begin_stale(self) -> None:
-        """Let the first list be stale."""
+        """Create a watch whose first list may be stale."""
         self.watch = ObjectWatch(self.view, random.Random(1), stale_start=True)
 
     def test_the_first_list_may_be_stale_and_confirms_nothing(self) -> None:
@@ -49,10 +49,8 @@
         self.assertEqual(self.view.confirmed_at, 2.0)
         self.assertEqual(self.watch.next_request(), WatchRequest(12))
 
-    def test_what_a_stale_list_left_out_or_held_too_much_is_made_good_by_the_fresh_one(
-        self,
-    ) -> None:
-        """A restored store may answer a stale list from the history that it has lost."""
+    def test_a_fresh_list_corrects_a_stale_one(self) -> None:
+        """A restored store may answer a stale list from the history that it lost."""
         self.begin_stale()
         self.watch.take_page(page("ab", False, 30), asked_at=1.0)
         changes = self.watch.take_page(page("bc", False, 21), asked_at=2.0)
@@ -61,13 +59,13 @@
         )
         self.assertEqual(self.watch.next_request(), WatchRequest(21))
 
-    def test_without_leave_the_first_list_is_not_stale(self) -> None:
+    def test_by_default_the_first_list_is_not_stale(self) -> None:
         watch: ObjectWatch[str] = ObjectWatch(self.view, random.Random(1))
         self.assertEqual(watch.next_request(), ListRequest(""))
         watch.take_page(page("a", False, 10), asked_at=1.0)
         self.assertEqual(self.view.confirmed_at, 1.0)
 
-    def test_an_empty_stale_list_is_not_believed(self) -> None:
+    def test_an_empty_stale_list_is_rejected(self) -> None:
         self.begin_stale()
         self.watch.take_page(page("", False, 0), asked_at=0.5)
         self.assertFalse(self.watch.holds_stale)
@@ -76,7 +74,7 @@
         self.watch.take_page(page("", False, 3), asked_at=1.0)
         self.assertEqual(self.view.confirmed_at, 1.0)
 
-    def test_stale_pages_of_replicas_that_are_not_equally_far(self) -> None:
+    def test_stale_pages_of_replicas_at_different_revisions(self) -> None:
         self.begin_stale()
         self.watch.take_page(page("ab", True, 14), asked_at=1.0)
         self.assertEqual(self.watch.next_request(), ListRequest("b", stale=True))
@@ -84,7 +82,7 @@
         self.assertEqual([change.name for change in changes], ["a", "b", "c", "d"])
         self.assertEqual(self.watch.next_request(), ListRequest(""))
 
-    def test_it_lists_all_pages_and_watches_from_the_first_ones_revision(self) -> None:
+    def test_it_lists_all_pages_and_watches_from_the_lowest_revision(self) -> None:
         self.assertEqual(self.watch.next_request(), ListRequest(""))
         self.assertEqual(self.watch.take_page(page("ab", True, 10), asked_at=1.0), ())
         self.assertTrue(self.watch.must_list)
@@ -96,7 +94,7 @@
         self.assertEqual(self.watch.next_request(), WatchRequest(10))
         self.assertEqual(self.view.confirmed_at, 1.0)
 
-    def test_it_goes_on_from_the_revision_that_a_watch_told(self) -> None:
+    def test_it_continues_from_the_revision_of_a_watch(self) -> None:
         self.watch.take_page(page("a", False, 10), asked_at=1.0)
         self.watch.take_changes(ChangeBatch((ObjectChange("a", 12, None),), 12), now=2.0)
         self.assertEqual(self.watch.next_request(), WatchRequest(12))
@@ -104,12 +102,12 @@
         self.assertEqual(self.watch.next_request(), WatchRequest(12))
         self.assertEqual(self.view.confirmed_at, 3.0)
 
-    def test_it_goes_on_from_what_a_peer_told(self) -> None:
+    def test_it_continues_from_a_revision_learned_from_a_peer(self) -> None:
         self.watch.take_page(page("a", False, 10), asked_at=1.0)
         self.view.apply((ObjectChange("b", 25, "B"),), 30)
         self.assertEqual(self.watch.next_request(), WatchRequest(30))
 
-    def test_after_a_lost_history_it_lists_again_and_what_was_believed_stays(self) -> None:
+    def test_after_a_lost_history_it_lists_again_and_keeps_the_view(self) -> None:
         self.watch.take_page(page("a", False, 10), asked_at=1.0)
         self.watch.take_lost_history()
         self.assertEqual(self.watch.next_request(), ListRequest(""))
@@ -121,7 +119,7 @@
         self.assertEqual(self.watch.next_request(), WatchRequest(30))
 
     def test_a_burst_of_large_versions_is_read_by_lists(self) -> None:
-        """Found on a grown site: each version of 1,500 routes came, and the last one late."""
+        """A watch returns every large version, so that the newest one arrives late."""
         self.watch.take_page(page("a", False, 10), asked_at=1.0)
         versions = (ObjectChange("a", 12, "A2"),)
         self.watch.take_changes(ChangeBatch(versions, 12, (), LARGE_ANSWER_BYTES), now=2.0)
@@ -133,12 +131,12 @@
         self.assertEqual(self.view.confirmed_at, 2.8)
         self.assertEqual(self.watch.next_request(), WatchRequest(30))
 
-    def test_a_watch_that_may_have_had_too_much_to_tell_is_followed_by_a_list(self) -> None:
+    def test_a_failed_watch_of_a_small_kind_is_followed_by_a_list(self) -> None:
         self.watch.take_page(page("a", False, 10), asked_at=1.0)
         self.watch.take_failure()
         self.assertEqual(self.watch.next_request(), ListRequest(""))
 
-    def test_a_kind_of_many_objects_is_watched_on(self) -> None:
+    def test_a_kind_of_many_objects_is_still_watched(self) -> None:
         names = "abcdefgh"[: FEW_OBJECTS + 1]
         self.watch.take_page(page(names, False, 10), asked_at=1.0)
         change = (ObjectChange("a", 12, "A2"),)
@@ -161,7 +159,7 @@
 
 
 class RestoredStoreTest(unittest.TestCase):
-    """A store that came back from an older copy of itself counts on in a new era."""
+    """A store that was restored from an older copy continues in a new era."""
 
     def setUp(self) -> None:
         self.view: StoreView[str] = StoreView()
@@ -169,19 +167,19 @@
         self.take_list("ab", era=1, number=30)
 
     def take_list(self, names: str, *, era: int, number: int) -> list[str]:
-        """Take a whole list; return the names of what it changed."""
+        """Apply a complete list; return the names of the changed objects."""
         self.watch.next_request()
         changes = self.watch.take_page(page(names, False, revision_in_era(era, number)), 1.0)
         return [change.name for change in changes]
 
-    def test_its_lower_number_is_the_later_revision(self) -> None:
+    def test_a_lower_number_of_a_new_era_is_a_higher_revision(self) -> None:
         self.watch.take_lost_history()
         self.assertEqual(self.take_list("bc", era=2, number=21), ["c", "a"])
         self.assertEqual(self.view.revision, revision_in_era(2, 21))
         self.assertEqual(self.watch.next_request(), WatchRequest(revision_in_era(2, 21)))
 
-    def test_a_watch_that_it_answers_tells_nothing_of_what_was_changed_below(self) -> None:
-        """It had passed the number that was asked from before the watch reached it."""
+    def test_a_watch_answer_of_a_new_era_is_followed_by_a_list(self) -> None:
+        """The store may have passed the watched number, and a watch omits changes below it."""
         change = ObjectChange("c", revision_in_era(2, 31), "C")
         batch = ChangeBatch((change,), revision_in_era(2, 31))
         self.assertEqual(self.watch.take_changes(batch, now=9.0), ())
@@ -189,7 +187,7 @@
         self.assertEqual(self.watch.next_request(), ListRequest(""))
         self.assertEqual(self.take_list("c", era=2, number=31), ["c", "a", "b"])
 
-    def test_an_answer_from_before_changes_and_confirms_nothing(self) -> None:
+    def test_an_answer_of_a_former_era_changes_and_confirms_nothing(self) -> None:
         self.take_list("bc", era=2, number=21)
         batch = ChangeBatch(
             (ObjectChange("b", revision_in_era(1, 31), None),), revision_in_era(1, 31)
@@ -198,7 +196,7 @@
             self.watch.take_changes(batch, now=9.0)
         self.assertEqual((self.view.confirmed_at, len(self.view)), (1.0, 2))
 
-    def test_a_list_of_two_eras_begins_again(self) -> None:
+    def test_a_list_with_pages_of_two_eras_starts_over(self) -> None:
         self.watch.take_lost_history()
         self.watch.take_page(page("ab", True, revision_in_era(1, 33)), 2.0)
         self.assertEqual(self.watch.next_request(), ListRequest("b"))
@@ -206,7 +204,7 @@
         self.assertEqual(self.watch.next_request(), ListRequest(""))
         self.assertEqual(self.take_list("cd", era=2, number=20), ["c", "d", "a", "b"])
 
-    def test_one_that_does_not_tell_its_era_is_a_failure_and_not_asked_all_the_time(self) -> None:
+    def test_a_lower_revision_in_the_same_era_is_a_failure(self) -> None:
         self.watch.take_lost_history()
         for failures in range(1, 4):
             with self.assertRaises(OlderAnswerError):
@@ -217,7 +215,7 @@
             (self.view.revision, self.view.confirmed_at), (revision_in_era(1, 30), 1.0)
         )
 
-    def test_a_list_that_peers_overtook_while_it_was_under_way_is_passed_over(self) -> None:
+    def test_a_list_older_than_a_peers_delta_is_ignored(self) -> None:
         self.watch.take_lost_history()
         self.watch.next_request()
         self.view.apply((), revision_in_era(1, 40))
@@ -226,8 +224,8 @@
         self.assertEqual(self.watch.next_request(), WatchRequest(revision_in_era(1, 40)))
 
 
-class UntoldEraTest(unittest.TestCase):
-    """A store that was restored, and does not tell its era."""
+class UnreportedEraTest(unittest.TestCase):
+    """A store that was restored and reports no era."""
 
     def setUp(self) -> None:
         self.view: StoreView[BackendRecord] = StoreView(BackendOrder())
@@ -243,7 +241,7 @@
         changes = self.watch.take_page(page, 1.0, tells_era=False)
         return [change.name for change in changes]
 
-    def test_a_list_below_what_was_known_begins_the_next_era(self) -> None:
+    def test_a_list_below_the_known_revision_starts_the_next_era(self) -> None:
         self.watch.take_lost_history()
         changed = self.take_list(20, self.ready, backend(3))
         self.assertEqual(changed, [backend(3).name, backend(2).name])
@@ -251,8 +249,8 @@
         self.assertTrue(self.view.keeps_words)
         self.assertEqual(self.watch.next_request(), WatchRequest(revision_in_era(1, 20)))
 
-    def test_after_a_call_that_failed_it_is_listed_and_not_watched(self) -> None:
-        """Its writers may have passed the known number by then, and a watch tells nothing below."""
+    def test_after_a_failed_call_it_is_listed(self) -> None:
+        """The store may have passed the known number, and a watch omits changes below it."""
         self.watch.take_failure()
         self.assertEqual(self.watch.next_request(), ListRequest(""))
         changed = self.take_list(33, self.draining, backend(3))
@@ -261,8 +259,8 @@
         self.assertEqual(self.take_list(33, self.draining, backend(3)), [])
         self.assertEqual(self.watch.next_request(), WatchRequest(33))
 
-    def test_another_history_up_to_the_known_number_shows_it_too(self) -> None:
-        """Found by seed 4017 of the simulation: the number was the same, so peers took nothing."""
+    def test_another_history_up_to_the_known_number_starts_the_next_era(self) -> None:
+        """At the same number in the same era, peers would not take the restored records."""
         for revision, records in (
             (30, (self.ready, backend(2))),
             (33, (self.ready, backend(2))),
@@ -278,12 +276,12 @@
                 self.watch.take_page(page, 1.0, tells_era=False)
                 self.assertEqual(self.view.revision, revision_in_era(1, revision))
 
-    def test_the_same_history_goes_on_in_its_era(self) -> None:
+    def test_the_same_history_stays_in_its_era(self) -> None:
         self.watch.take_failure()
         self.assertEqual(self.take_list(30, self.draining, backend(2)), [])
         self.assertEqual(self.view.revision, 30)
 
-    def test_a_list_that_peers_overtook_shows_nothing(self) -> None:
+    def test_a_list_older_than_a_peers_delta_starts_no_era(self) -> None:
         self.watch.next_request()
         changed = ObjectChange(self.ready.name, 40, self.draining._replace(sequence=12))
         self.view.apply([changed], 40)
@@ -292,7 +290,7 @@
         self.watch.take_page(ListPage((named,), False, 35, named.name), 1.0, tells_era=False)
         self.assertEqual(self.view.revision, 40)
 
-    def test_one_that_tells_its_era_is_watched_on(self) -> None:
+    def test_a_store_that_reports_its_era_is_still_watched(self) -> None:
         self.watch.take_changes(ChangeBatch((), 31), now=2.0, tells_era=True)
         self.watch.take_lost_history()
         self.watch.take_page(ListPage((), False, 33, ""), 3.0)
