--- a/src/beamloom/replication/peer_table.py
+++ b/src/beamloom/replication/peer_table.py
@@ -1,7 +1,7 @@
-"""The hosts of other nodes, as far as a node has heard of them lately.
+"""The hosts of other nodes that were seen recently, with their zones and capacities.
 
-Most of what a node tells goes to peers of its own zone: bytes between zones cost more, and a few of
-them suffice for news to get there.
+Most messages go to peers of the own zone, as traffic between zones costs more and a few messages
+suffice to spread a change to other zones.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 from beamloom.settings.capacity import LEAST, LOWEST_RANK, Capacity, weight_of_rank
 
-PEER_SILENCE_SECONDS = 15.0
+PEER_EXPIRY_SECONDS = 15.0
 MAXIMUM_PEERS = 2048
 SAMPLE_SIZE = 8
 OWN_ZONE_SHARE = 0.85
-MOST_TOLD = 24
-"""Peers that the ablest machine tells: some 6 kB of digests for each change."""
+MAXIMUM_FAN_OUT = 24
+"""The most peers that a change is sent to: about 6 kB of digests."""
 UNKNOWN_RANK = -1
-"""In messages, of a host that has not told what it can do."""
+"""In messages, stands for a rank that is not known."""
 
 
 class PeerTable:
-    """Hosts with the moment at which each was last alive. `seeds` are asked while few are known.
+    """Hosts with the time at which each was last seen; `seeds` are contacted while few are known.
 
-    Hosts that nobody has told the zone of count as those of another one.
+    A host of unknown zone counts as being in another zone.
     """
 
     def __init__(
@@ -38,102 +38,103 @@
         self.host = host
         self.zone = zone
         self.capacity = capacity
-        self._ableness = 1.0
+        self._relative_capacity = 1.0
         self._ranks: dict[str, int] = {}
         self._capacities: dict[str, Capacity] = {}
         self._zones: dict[str, str] = {}
         self._chance = chance
-        self._heard: dict[str, float] = {}
+        self._last_seen: dict[str, float] = {}
         self.seeds: list[str] = []
         self.use_seeds(seeds)
 
     def use_seeds(self, seeds: Iterable[str]) -> None:
-        """Ask these hosts from now on while few are known."""
+        """Replace the seeds, the hosts that are contacted while few peers are known."""
         self.seeds = [seed for seed in seeds if seed != self.host]
 
     def __len__(self) -> int:
-        return len(self._heard)
+        return len(self._last_seen)
 
     def note(self, host: str, at: float, now: float) -> bool:
-        """Note that a host was alive at a moment; return whether it was unknown."""
-        if host == self.host or now - at >= PEER_SILENCE_SECONDS:
+        """Record that a host was alive at a time; return whether it was added."""
+        if host == self.host or now - at >= PEER_EXPIRY_SECONDS:
             return False
-        known = self._heard.get(host)
-        if known is None and len(self._heard) >= MAXIMUM_PEERS:
+        known = self._last_seen.get(host)
+        if known is None and len(self._last_seen) >= MAXIMUM_PEERS:
             return False
         if known is None or at > known:
-            self._heard[host] = at
+            self._last_seen[host] = at
         return known is None
 
     def note_zone(self, host: str, zone: str) -> None:
-        """Note the zone that a host says it is in."""
-        if host in self._heard and zone:
+        """Record the zone that a host reports for itself."""
+        if host in self._last_seen and zone:
             self._zones[host] = zone
 
     def note_capacity(self, host: str, capacity: Capacity) -> None:
-        """Note what a host says it can do."""
-        if host in self._heard:
+        """Record the capacity that a host reports for itself."""
+        if host in self._last_seen:
             self._capacities[host] = capacity
             self._ranks[host] = capacity.rank
 
     def note_rank(self, host: str, rank: int) -> None:
-        """Note the rank that another host tells of this one; its own word goes first."""
-        is_told = host in self._capacities or host not in self._heard
-        if not is_told and isinstance(rank, int) and 0 <= rank <= LOWEST_RANK:
+        """Record a host's rank as reported by another one; its own report takes precedence."""
+        is_ignored = host in self._capacities or host not in self._last_seen
+        if not is_ignored and isinstance(rank, int) and 0 <= rank <= LOWEST_RANK:
             self._ranks[host] = rank
 
     def capacity_of(self, host: str) -> Capacity | None:
-        """Return what a host said it can do; None where it has not said so here."""
+        """Return the capacity that a host reported for itself; None if it has not."""
         return self._capacities.get(host)
 
     def rank_of(self, host: str) -> int | None:
-        """Return the rank of a host; None where nobody has told it."""
+        """Return the rank of a host; None if it is not known."""
         return self.capacity.rank if host == self.host else self._ranks.get(host)
 
     def weight_of(self, host: str) -> int:
-        """Return how many times the roles of the least machine a host can bear.
+        """Return a host's capacity as a multiple of the least machine's.
 
-        A host whose rank nobody has told counts as this node itself.
+        A host of unknown rank counts like this node.
         """
         rank = self.rank_of(host)
         return self.capacity.weight if rank is None else weight_of_rank(rank)
 
     def knows(self, host: str) -> bool:
-        """Return whether a host was heard of lately."""
-        return host in self._heard
+        """Return whether a host was seen recently."""
+        return host in self._last_seen
 
-    def is_near(self, host: str) -> bool:
+    def is_in_own_zone(self, host: str) -> bool:
         """Return whether a host is known to be in this node's zone."""
         return self._zones.get(host) == self.zone
 
     def fan_out(self, count: int) -> int:
-        """Return to how many peers this node passes on what usually goes to `count`.
+        """Scale a fan-out of `count` peers by this node's capacity relative to its peers.
 
-        Able machines tell more. None tells fewer: with three peers told by each of the least, a
-        change took 1 s to reach the last of 150 nodes, and 0.05 s with five to seven (in memory).
+        It is never lowered, as a smaller fan-out delays changes for the last nodes.
         """
-        return max(count, min(MOST_TOLD, round(count * self._ableness)))
+        return max(count, min(MAXIMUM_FAN_OUT, round(count * self._relative_capacity)))
 
-    def forget_silent(self, now: float) -> None:
-        """Drop hosts that nobody has heard for long."""
-        self._heard = {
-            host: at for host, at in self._heard.items() if now - at < PEER_SILENCE_SECONDS
+    def remove_expired(self, now: float) -> None:
+        """Remove hosts that were not seen for PEER_EXPIRY_SECONDS."""
+        self._last_seen = {
+            host: at for host, at in self._last_seen.items() if now - at < PEER_EXPIRY_SECONDS
         }
-        self._zones = {host: zone for host, zone in self._zones.items() if host in self._heard}
-        self._ranks = {host: rank for host, rank in self._ranks.items() if host in self._heard}
+        self._zones = {host: zone for host, zone in self._zones.items() if host in self._last_seen}
+        self._ranks = {host: rank for host, rank in self._ranks.items() if host in self._last_seen}
         self._capacities = {
-            host: told for host, told in self._capacities.items() if host in self._heard
+            host: told for host, told in self._capacities.items() if host in self._last_seen
         }
-        self._compare_with_peers()
+        self._update_relative_capacity()
 
-    def _compare_with_peers(self) -> None:
-        """Take how much more than its peers, on average, this node can bear."""
-        weights = [self.weight_of(host) for host in self._heard]
-        self._ableness = self.capacity.weight * len(weights) / sum(weights) if weights else 1.0
+    def _update_relative_capacity(self) -> None:
+        """Update this node's weight relative to the average of its peers."""
+        weights = [self.weight_of(host) for host in self._last_seen]
+        self._relative_capacity = (
+            self.capacity.weight * len(weights) / sum(weights) if weights else 1.0
+        )
 
     def choose(self, count: int) -> list[str]:
-        """Return up to so many hosts, drawn by chance; all of them where there are no more."""
-        hosts = sorted(self._heard)
+        """Return up to `count` random hosts, about OWN_ZONE_SHARE of them of the own zone."""
+        hosts = sorted(self._last_seen)
         if len(hosts) <= count:
             return hosts
         near = [host for host in hosts if self._zones.get(host) == self.zone]
@@ -144,15 +145,15 @@
         return chosen + self._chance.sample(far, count - from_near)
 
     def hosts(self) -> Iterable[str]:
-        """Return all hosts heard of lately."""
-        return self._heard.keys()
+        """Return all hosts seen recently."""
+        return self._last_seen.keys()
 
-    def of_own_zone(self) -> list[str]:
+    def own_zone_hosts(self) -> list[str]:
         """Return the hosts that are known to be in this node's zone."""
         return [host for host, zone in self._zones.items() if zone == self.zone]
 
     def sample(self, now: float) -> list[tuple[str, float]]:
-        """Return a few hosts of any zone and how long ago each was heard, in seconds."""
-        hosts = sorted(self._heard)
+        """Return a few random hosts of any zone and the seconds since each was last seen."""
+        hosts = sorted(self._last_seen)
         drawn = self._chance.sample(hosts, min(SAMPLE_SIZE, len(hosts)))
-        return [(host, now - self._heard[host]) for host in drawn]
+        return [(host, now - self._last_seen[host]) for host in drawn]
--- a/src/beamloom/replication/shared_view.py
+++ b/src/beamloom/replication/shared_view.py
@@ -1,4 +1,4 @@
-"""One kind of object as nodes tell each other of it: a view, its encoding, its confirmations."""
+"""One kind of object as nodes exchange it: a view, its encoding and its confirmations."""
 
 from __future__ import annotations
 
@@ -13,35 +13,37 @@
 
 Record = TypeVar("Record")
 
-PACKED_KEPT = 8
+MAXIMUM_CACHED_DELTAS = 8
 
 
 class DeltaCodec(ABC, Generic[Record]):
-    """Encodes deltas of one kind; `decode` raises ValueError."""
+    """Encodes and decodes deltas of one kind."""
 
     @property
     def bases(self) -> list[int]:
-        """What this node holds that a peer's encoding may build on, the best first."""
+        """Versions held here that a peer may encode a difference against, the best first."""
         return []
 
     def choose_base(self, _bases: Sequence[int]) -> int:
-        """Return which of a peer's bases to build on; NEVER: none."""
+        """Return which of a peer's bases to encode against; NEVER for none."""
         return NEVER
 
     @abstractmethod
     def encode(self, delta: ViewDelta[Record], base: int) -> bytes:
-        """Return the bytes of a delta for a peer that holds this base."""
+        """Encode a delta for a peer that holds this base."""
 
     @abstractmethod
     def decode(self, data: bytes) -> ViewDelta[Record]:
-        """Return the delta of these bytes."""
+        """Decode a delta; raises ValueError if it is invalid."""
 
 
 class SharedView(Generic[Record]):
-    """One kind of object as the exchange sees it.
+    """A view together with its state in the exchange.
 
-    `on_changes` is called with what peers told that was news. Where no confirmation came for
-    `late_seconds`, peers are asked for one.
+    `on_changes` is called with the changes merged from peers. A view without a confirmation for
+    `late_seconds` is late, and the exchange probes peers. `behind_since` is when the first digest
+    with a higher revision arrived; a merge resets it. With `confirms_early` a confirmation of
+    a higher revision takes effect as soon as that revision is merged.
     """
 
     def __init__(
@@ -58,24 +60,24 @@
         self._confirms_early = confirms_early
         self.requested_at = float("-inf")
         self.behind_since: float | None = None
-        self._ahead: tuple[int, float] | None = None
-        self._packed_at: int | None = None
-        self._packed: dict[tuple[int, int], bytes] = {}
+        self._pending_confirmation: tuple[int, float] | None = None
+        self._cache_revision: int | None = None
+        self._cache: dict[tuple[int, int], bytes] = {}
         self._codec = codec
         self._on_changes = on_changes
 
     @property
     def revision(self) -> int:
-        """Up to which revision the view is known; NEVER where nothing is."""
+        """The view's revision; NEVER if it has none."""
         return NEVER if self.view.revision is None else self.view.revision
 
     @property
     def mark(self) -> int:
-        """How far what is known is by its own marks, whatever the store's revisions tell."""
+        """The highest mark of the view's records, independent of the store's revisions."""
         return self.view.mark
 
     def request(self, index: int, attempt: int, *, whole: bool = False) -> ViewRequest:
-        """Return the request for what this node lacks of the `index`th kind, or for all of it."""
+        """Return the request for the changes that this view lacks, or for the `whole` view."""
         bases = self._codec.bases
         if self.view.revision is None or whole:
             return ViewRequest(index, NEVER, attempt=attempt, versions=bases)
@@ -83,53 +85,54 @@
         return ViewRequest(index, number, attempt=attempt, era=era, versions=bases)
 
     def encode_for(self, request: ViewRequest) -> bytes | None:
-        """Return what a peer lacks, packed; None where it lacks nothing known here."""
+        """Return a packed delta for a peer's request; None if this view is not ahead of it."""
         since = request.since
         revision = since if since == NEVER else revision_in_era(request.era, since)
         return self._encode_since(revision, request.versions)
 
     def _encode_since(self, revision: int, bases: Sequence[int]) -> bytes | None:
-        """Encode what a peer at a revision lacks.
-
-        Many peers lack the same, so it is kept until the view gets further.
-        """
-        if self._packed_at != self.view.revision:
-            self._packed_at = self.view.revision
-            self._packed = {}
+        """Return the packed delta from a revision, from the cache if the view has not changed."""
+        if self._cache_revision != self.view.revision:
+            self._cache_revision = self.view.revision
+            self._cache = {}
         base = self._codec.choose_base(bases)
         key = (revision, base)
-        if key not in self._packed:
+        if key not in self._cache:
             delta = self.view.since(revision)
             if delta is None:
                 return None
-            if len(self._packed) >= PACKED_KEPT:
-                self._packed.clear()
-            self._packed[key] = pack(self._codec.encode(delta, base))
-        return self._packed[key]
+            if len(self._cache) >= MAXIMUM_CACHED_DELTAS:
+                self._cache.clear()
+            self._cache[key] = pack(self._codec.encode(delta, base))
+        return self._cache[key]
 
     def note_ahead(self, revision: int, at: float) -> None:
-        """Note that the store had no change beyond a revision at a moment, which is not known yet.
+        """Record that a revision not reached here yet was current at a time.
 
-        Most revisions are those of other kinds of object; without this each would put the
-        confirmation off until the next digest, and nodes would ask the store themselves.
+        The confirmation then takes effect with the merge instead of the next digest; otherwise
+        changes of other kinds, which raise the revision too, would make views stale.
         """
-        self._ahead = (revision, at)
+        self._pending_confirmation = (revision, at)
 
     def merge(self, data: bytes) -> bool:
-        """Take a peer's delta; return whether the view got further. Raises ValueError."""
+        """Merge a peer's encoded delta; return whether it was applied. Raises ValueError."""
         changes = self.view.merge(self._codec.decode(data))
         if changes is None:
             return False
-        self._confirm_ahead()
-        self._packed_at = None
+        self._apply_pending_confirmation()
+        self._cache_revision = None
         if changes:
             self._on_changes(changes)
         return True
 
-    def _confirm_ahead(self) -> None:
-        if self._ahead is None or self.view.revision is None or not self._confirms_early:
+    def _apply_pending_confirmation(self) -> None:
+        if (
+            self._pending_confirmation is None
+            or self.view.revision is None
+            or not self._confirms_early
+        ):
             return
-        revision, at = self._ahead
+        revision, at = self._pending_confirmation
         if self.view.revision >= revision:
             self.view.confirm(at)
-            self._ahead = None
+            self._pending_confirmation = None
--- a/src/beamloom/replication/view_exchange.py
+++ b/src/beamloom/replication/view_exchange.py
@@ -1,9 +1,10 @@
-"""How nodes keep each other's views of the store current, without I/O.
+"""Gossip that keeps the nodes' views of the store up to date; it does no I/O.
 
-Each node tells a few others how far it knows the store (a digest): at once when it learns
-something, and one peer each second anyway. Who hears a higher revision asks for what it lacks; who
-hears a lower one, or an old confirmation, tells its own. In a fleet of up to DIRECT_PEERS others a
-digest goes to all, in a larger one it spreads from node to node in a few steps.
+Each node sends the revisions of its views (a digest) to a few peers at once after a change, and to
+at least one peer about every second. A node that receives a higher revision than its own requests
+the missing changes. One that receives a lower revision, or an older confirmation, replies with its
+own digest. With up to DIRECT_PEERS peers a digest is sent to all of them; in a larger fleet it
+spreads over several hops.
 """
 
 from __future__ import annotations
@@ -40,26 +41,27 @@
 
 DIRECT_PEERS = 12
 FORWARD_PEERS = 5
-LATE_PEERS = 2
-ASK_PEERS_SECONDS = 1.0
-"""So many are asked in each tick, for so long: by then a node asks the store itself."""
-MERGED_PEERS = FORWARD_PEERS + FORWARD_PEERS // 2
-"""Who has merged changes tells of them and of their confirmation in one digest."""
+PROBED_PEERS = 2
+PROBE_SECONDS = 1.0
+"""While a confirmation is late, each tick sends digests to PROBED_PEERS, for this long."""
+AFTER_MERGE_PEERS = FORWARD_PEERS + FORWARD_PEERS // 2
+"""Peers that get a digest after a merge; it carries both the changes and their confirmation."""
 FRESHNESS_STEP_SECONDS = 0.8
-"""A confirmation is passed on in a large fleet only if it is news by so much."""
+"""In a large fleet a confirmation is forwarded only if it is newer by this much."""
 HEARTBEAT_SECONDS = 1.0
-FEW_PEERS = 2
-MEETING_HEARTBEAT_SECONDS = 0.3
-MEETING_SECONDS = 3.0
-MEETING_PEERS = 32
-"""While hosts that were unknown turn up, and few are known, heartbeats follow faster."""
-ANSWER_SECONDS = 0.2
-"""A peer that is behind is told so at most this often."""
+MINIMUM_PEERS = 2
+"""With fewer known peers, heartbeats go to the seeds too."""
+DISCOVERY_HEARTBEAT_SECONDS = 0.3
+DISCOVERY_SECONDS = 3.0
+DISCOVERY_PEERS = 32
+"""While new hosts appear and no more than this many are known, heartbeats are more frequent."""
+REPLY_INTERVAL_SECONDS = 0.2
+"""The shortest interval between replies to digests of one peer."""
 OLDEST_AGE_SECONDS = 60.0
 
 
 class ViewExchange:
-    """Digests of one node; `take_sends` hands out what is to be sent, requests and parts too."""
+    """The exchange of one node; `take_sends` returns its messages, including those of `pulls`."""
 
     def __init__(
         self,
@@ -79,37 +81,37 @@
         self._duty = duty
         self._chance = chance
         self._by_capacity = by_capacity
-        self._sheds = False
+        self._sheds_load = False
         self._sends: list[SendToHost] = []
         self.pulls = ViewPulls(
             views, peers, chance, self._sends, self.counters, by_capacity=by_capacity
         )
-        self.pulls.on_merged = self._tell_merged
-        self.pulls.on_nobody = self._ask_around
+        self.pulls.on_merged = self._announce_merge
+        self.pulls.on_no_candidate = self._probe_peers
         self._next_heartbeat = float("-inf")
-        self._met_at = float("-inf")
-        self._answered: dict[str, float] = {}
+        self._discovered_at = float("-inf")
+        self._replied_at: dict[str, float] = {}
 
     def use_limits(self, answer_share: float) -> None:
-        """Answer peers with this share (0 to 1) of the usual bytes, and tell less of the machine.
+        """Limit answers to peers to this share (0 to 1) of the usual bytes.
 
-        Peers that hear of the least capacity leave roles to others.
+        Below 1 the node advertises the least capacity, so that peers give roles to other nodes.
         """
         self.pulls.budget.share = answer_share
-        self._sheds = answer_share < 1.0
+        self._sheds_load = answer_share < 1.0
 
     def take_sends(self) -> list[SendToHost]:
-        """Return what is to be sent now, once."""
+        """Return the messages to send, and clear the queue."""
         sends = self._sends.copy()
         self._sends.clear()
         return sends
 
     def note_down(self, backend: str, now: float) -> None:
-        """Tell others at once that this node has found a backend dead."""
+        """Report a backend that this node found dead, as soon as the report interval allows."""
         self.reports.note_down(backend)
-        self._spread_down(now)
+        self._forward_down_reports(now)
 
-    def _spread_down(self, now: float) -> None:
+    def _forward_down_reports(self, now: float) -> None:
         names = self.reports.take_down_news(now)
         if names:
             message = BackendsDown(names)
@@ -118,147 +120,148 @@
             self._sends.extend(SendToHost(host, message) for host in hosts)
 
     def advance(self, now: float) -> None:
-        """Send what is new, and the heartbeat if its time has come."""
+        """Send what is due: reports, requests, probes for late confirmations and the heartbeat."""
         if self.reports.take_news(now):
             self.announce(now)
-        self._spread_down(now)
+        self._forward_down_reports(now)
         self.pulls.advance(now)
-        if self._is_late(now):
-            self._send_digest(self.peers.choose(LATE_PEERS), now)
+        if self._is_confirmation_late(now):
+            self._send_digest(self.peers.choose(PROBED_PEERS), now)
         if now < self._next_heartbeat:
             return
-        is_small = len(self.peers) <= MEETING_PEERS
-        meeting = is_small and now - self._met_at < MEETING_SECONDS
-        period = MEETING_HEARTBEAT_SECONDS if meeting else HEARTBEAT_SECONDS
+        is_small = len(self.peers) <= DISCOVERY_PEERS
+        meeting = is_small and now - self._discovered_at < DISCOVERY_SECONDS
+        period = DISCOVERY_HEARTBEAT_SECONDS if meeting else HEARTBEAT_SECONDS
         self._next_heartbeat = now + period * self._chance.uniform(0.9, 1.1)
-        self.peers.forget_silent(now)
+        self.peers.remove_expired(now)
         self.pulls.choice.forget(now)
         hosts = self.peers.choose(1)
-        if len(self.peers) < FEW_PEERS:
+        if len(self.peers) < MINIMUM_PEERS:
             hosts = sorted({*hosts, *self.peers.seeds})
         self._send_digest(hosts, now, names_peers=True)
-        self._answered = {
-            host: at for host, at in self._answered.items() if now - at < ANSWER_SECONDS
+        self._replied_at = {
+            host: at for host, at in self._replied_at.items() if now - at < REPLY_INTERVAL_SECONDS
         }
 
     def _choose(self, count: int) -> list[str]:
-        """Draw the peers that news goes to, more of them the more this node can bear."""
+        """Draw the peers to send to; in a large fleet a node with more capacity draws more."""
         if not self._by_capacity or len(self.peers) <= DIRECT_PEERS:
             return self.peers.choose(count)
         return self.peers.choose(self.peers.fan_out(count))
 
-    def _is_late(self, now: float) -> bool:
-        """Whether a confirmation should have come by now: peers that have it answer a digest."""
+    def _is_confirmation_late(self, now: float) -> bool:
+        """Whether a confirmation is late; peers that have a newer one reply to a digest."""
         for shared in self.views:
             age = shared.view.age(now)
-            if age is not None and 0 <= age - shared.late_seconds < ASK_PEERS_SECONDS:
+            if age is not None and 0 <= age - shared.late_seconds < PROBE_SECONDS:
                 return True
         return False
 
     def announce(self, now: float) -> None:
-        """Tell others at once what this node has just learned; while nodes meet, seeds as well.
+        """Send a digest to some peers at once; during discovery it may go to the seeds too.
 
-        Who has just started asks the seeds first.
+        Nodes that have just started ask the seeds first.
         """
         count = DIRECT_PEERS if len(self.peers) <= DIRECT_PEERS else FORWARD_PEERS
         hosts = self._choose(count)
-        if now - self._met_at < MEETING_SECONDS and self._tells_seeds():
+        if now - self._discovered_at < DISCOVERY_SECONDS and self._includes_seeds():
             hosts = sorted({*hosts, *self.peers.seeds})
         self._send_digest(hosts, now)
 
-    def _tells_seeds(self) -> bool:
-        """Whether seeds must be told: where many are known they hear it soon from others.
+    def _includes_seeds(self) -> bool:
+        """Whether announcements go to the seeds; in a large fleet they get them from other peers.
 
-        Else they are the first to know each change, and all that start ask them for it.
+        Otherwise they would hold each change first, and all starting nodes would request it there.
         """
-        return not self._by_capacity or len(self.peers) <= MEETING_PEERS
+        return not self._by_capacity or len(self.peers) <= DISCOVERY_PEERS
 
     def ask_to_stop(self, now: float) -> None:
-        """Take part in the turns of stops, as this node has been asked to stop."""
+        """Queue this node's stop, and notify the peers of its zone."""
         self.stops.ask(now)
-        self._send_digest(self.peers.of_own_zone(), now)
+        self._send_digest(self.peers.own_zone_hosts(), now)
 
     def may_go_away(self, now: float) -> bool:
         """Return whether it is this node's turn to stop."""
-        return self.stops.may_go(len(self.peers.of_own_zone()) + 1, now)
+        return self.stops.may_go(len(self.peers.own_zone_hosts()) + 1, now)
 
     def go_away(self, now: float) -> None:
-        """Tell the zone that its routers are to turn away from this node."""
+        """Mark this node as away, and notify the peers of its zone."""
         self.stops.go()
-        self._send_digest(self.peers.of_own_zone(), now)
+        self._send_digest(self.peers.own_zone_hosts(), now)
 
     def handle(self, host: str, message: Message, now: float) -> None:
-        """Take a message of the node at a host."""
+        """Process a message from the node at a host."""
         is_new = self._note_peer(host, now, now)
         match message:
             case ViewDigest():
-                self._take_digest(host, message, is_new, now)
+                self._handle_digest(host, message, is_new, now)
             case ViewRequest():
                 self.pulls.answer(host, message, now)
             case AskElsewhere():
-                self.pulls.take_elsewhere(host, message, now)
+                self.pulls.handle_referral(host, message, now)
             case ViewPart():
-                self.pulls.take_part(host, message, now)
+                self.pulls.handle_part(host, message, now)
             case BackendsDown():
                 self.reports.take_down(message.names, now)
-        self._spread_down(now)
+        self._forward_down_reports(now)
 
     def _note_peer(self, host: str, at: float, now: float) -> bool:
         is_new = self.peers.note(host, at, now)
         if is_new:
-            self._met_at = now
+            self._discovered_at = now
         return is_new
 
-    def _take_digest(self, host: str, digest: ViewDigest, is_new: bool, now: float) -> None:
+    def _handle_digest(self, host: str, digest: ViewDigest, is_new: bool, now: float) -> None:
         self.peers.note_zone(host, digest.zone)
         self._note_capacities(host, digest)
         if digest.zone == self.peers.zone:
-            self._take_stop(host, digest.stop, now)
+            self._note_stop_state(host, digest.stop, now)
         self.reports.take_digest(digest, now)
         for peer, age in digest.peers:
             self._note_peer(peer, now - age / MILLISECONDS, now)
-        behind = False
-        fresher = False
+        peer_is_behind = False
+        has_newer_confirmation = False
         has_readers = False
         for reader, age in digest.readers:
             has_readers |= self._duty.note_reader(reader, now - age / MILLISECONDS)
-        self._take_marks(host, digest, now)
+        self._compare_marks(host, digest, now)
         for index, (shared, (revision, age)) in enumerate(
-            zip(self.views, _told_revisions(digest), strict=False)
+            zip(self.views, _revisions_in(digest), strict=False)
         ):
-            mine = shared.revision
-            self.pulls.choice.note_told(index, host, revision, now)
-            if revision > mine:
+            own = shared.revision
+            self.pulls.choice.note_revision(index, host, revision, now)
+            if revision > own:
                 shared.behind_since = now if shared.behind_since is None else shared.behind_since
                 if age != NEVER:
                     shared.note_ahead(revision, now - age / MILLISECONDS)
                 self.pulls.request(host, index, revision, now)
-            elif revision < mine:
-                behind = True
+            elif revision < own:
+                peer_is_behind = True
             elif age != NEVER:
-                fresher |= self._confirm(shared, now - age / MILLISECONDS)
-                behind |= self._is_staler(shared, now - age / MILLISECONDS)
-        if behind or is_new:
-            self._answer_digest(host, is_new, now)
-        if (fresher or has_readers) and len(self.peers) > DIRECT_PEERS:
+                has_newer_confirmation |= self._confirm(shared, now - age / MILLISECONDS)
+                peer_is_behind |= self._is_outdated_confirmation(shared, now - age / MILLISECONDS)
+        if peer_is_behind or is_new:
+            self._reply_with_digest(host, is_new, now)
+        if (has_newer_confirmation or has_readers) and len(self.peers) > DIRECT_PEERS:
             count = FORWARD_PEERS if has_readers else FORWARD_PEERS // 2
             self._send_digest(self._choose(count), now)
 
-    def _take_marks(self, host: str, digest: ViewDigest, now: float) -> None:
-        """Ask a peer for newer words that no revision tells of; earlier releases tell no marks.
+    def _compare_marks(self, host: str, digest: ViewDigest, now: float) -> None:
+        """Request a whole view from a peer that has a higher mark but no higher revision.
 
-        A node that starts after a restore reads the copy, in which a version may be missing that
-        its peers know and keep; both are at the same revision then.
+        A node that starts after a restore of the store reads an older copy, while its peers keep a
+        newer version at the same revision. Earlier releases send no marks.
         """
-        told = zip(self.views, _told_revisions(digest), digest.marks, strict=False)
-        for index, (shared, (revision, _), mark) in enumerate(told):
+        revisions = zip(self.views, _revisions_in(digest), digest.marks, strict=False)
+        for index, (shared, (revision, _), mark) in enumerate(revisions):
             if mark > shared.mark and NEVER < revision <= shared.revision:
                 self.pulls.request_whole(host, index, now)
 
     def _note_capacities(self, host: str, digest: ViewDigest) -> None:
-        """Take what the sender can do, and what it has heard of others; older nodes tell neither.
+        """Record the sender's capacity and the ranks it sends of others; older nodes send neither.
 
-        What is absurd counts as the least, and is counted and told once.
+        Unusable fields count as the least. They are counted each time, and passed to
+        `on_unusable_capacity` while no capacity of the host is recorded.
         """
         if digest.capacity:
             capacity, unusable = from_wire(digest.capacity)
@@ -270,42 +273,42 @@
         for (peer, _), rank in zip(digest.peers, ranks, strict=False):
             self.peers.note_rank(peer, rank)
 
-    def _take_stop(self, host: str, stop: int, now: float) -> None:
-        """Take how far a node of the zone is with its stop; states of tomorrow count as none."""
+    def _note_stop_state(self, host: str, stop: int, now: float) -> None:
+        """Record the stop state of a node in this zone; an unknown state counts as serving."""
         try:
             state = StopState(stop)
         except ValueError:
             state = StopState.SERVING
         self.stops.note_peer(host, state, now)
 
-    def _is_staler(self, shared: SharedView[Any], at: float) -> bool:
-        """Whether a peer's confirmation is so old that this node's own is worth telling."""
-        mine = shared.view.confirmed_at
-        return mine is not None and mine - at >= FRESHNESS_STEP_SECONDS
+    def _is_outdated_confirmation(self, shared: SharedView[Any], at: float) -> bool:
+        """Whether a peer's confirmation is older than this node's by FRESHNESS_STEP_SECONDS."""
+        own = shared.view.confirmed_at
+        return own is not None and own - at >= FRESHNESS_STEP_SECONDS
 
     def _confirm(self, shared: SharedView[Any], at: float) -> bool:
-        """Take a peer's confirmation; return whether it is news worth passing on."""
+        """Apply a peer's confirmation; return whether it is new enough to be forwarded."""
         before = shared.view.confirmed_at
         if not shared.view.confirm(at):
             return False
         return before is None or at - before >= FRESHNESS_STEP_SECONDS
 
-    def _answer_digest(self, host: str, is_new: bool, now: float) -> None:
-        if now - self._answered.get(host, float("-inf")) < ANSWER_SECONDS:
+    def _reply_with_digest(self, host: str, is_new: bool, now: float) -> None:
+        if now - self._replied_at.get(host, float("-inf")) < REPLY_INTERVAL_SECONDS:
             return
-        self._answered[host] = now
+        self._replied_at[host] = now
         self._send_digest([host], now, names_peers=is_new)
 
-    def _tell_merged(self, now: float) -> None:
+    def _announce_merge(self, now: float) -> None:
         if len(self.peers) > DIRECT_PEERS:
-            self._send_digest(self._choose(MERGED_PEERS), now)
+            self._send_digest(self._choose(AFTER_MERGE_PEERS), now)
 
-    def _ask_around(self, now: float) -> None:
-        """Tell some how far this node is: who knows more says so."""
-        self._send_digest(self.peers.choose(LATE_PEERS), now)
+    def _probe_peers(self, now: float) -> None:
+        """Send a digest to some peers; those that are ahead reply with theirs."""
+        self._send_digest(self.peers.choose(PROBED_PEERS), now)
 
     def _send_digest(self, hosts: Sequence[str], now: float, *, names_peers: bool = False) -> None:
-        """Send a digest; only heartbeats and answers name peers, to keep the others small."""
+        """Send a digest; it lists peers only if `names_peers`, to keep the others small."""
         if not hosts:
             return
         digest = self._digest(now, names_peers)
@@ -333,7 +336,7 @@
             silent,
             int(self.stops.state),
             failing,
-            to_wire(LEAST if self._sheds else self.peers.capacity),
+            to_wire(LEAST if self._sheds_load else self.peers.capacity),
             [UNKNOWN_RANK if rank is None else rank for rank in ranks],
             [max(UNKNOWN_ERA, era_of(shared.revision)) for shared in self.views],
             [shared.mark for shared in self.views],
@@ -341,11 +344,11 @@
 
 
 def _ignore(_host: str, _fields: tuple[str, ...]) -> None:
-    """Tell nobody of an unusable capacity; it is counted."""
+    """Ignore an unusable capacity; it is still counted."""
 
 
-def _told_revisions(digest: ViewDigest) -> Iterator[tuple[int, int]]:
-    """Yield the revision of each kind that a peer tells, and the age of its confirmation."""
+def _revisions_in(digest: ViewDigest) -> Iterator[tuple[int, int]]:
+    """Yield the revision of each kind in a digest, and the age of its confirmation."""
     eras = chain(digest.eras, repeat(UNKNOWN_ERA))
     for (number, age), era in zip(digest.views, eras, strict=False):
         yield number if number == NEVER else revision_in_era(era, number), age
--- a/src/beamloom/replication/view_transfer.py
+++ b/src/beamloom/replication/view_transfer.py
@@ -1,7 +1,7 @@
-"""Encoded deltas in parts that fit a datagram, put together again by the receiver.
+"""Splits encoded deltas into parts that fit a datagram, and reassembles them.
 
-What takes more than one part is compressed (zlib, RFC 1950): records of one kind are much alike,
-and each part may be lost.
+A delta of more than one part is compressed (zlib, RFC 1950): records of one kind are similar, and
+fewer parts are less likely to be lost.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 MAXIMUM_TRANSFERS = 8
 MAXIMUM_BYTES = 16 << 20
 COMPRESSED = b"\xff"
-"""Begins what is compressed; the CBOR of a delta is an array and never begins so."""
+"""The first byte of compressed data; the CBOR of a delta is an array and never starts with it."""
 COMPRESSION_LEVEL = 1
 TRANSFER_SECONDS = 2.0
 
 
 def pack(data: bytes) -> bytes:
-    """Return an encoded delta as it is sent."""
+    """Return an encoded delta, compressed if it does not fit one part."""
     if len(data) <= PART_BYTES:
         return data
     return COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def split(view: int, transfer: int, data: bytes) -> list[ViewPart]:
-    """Return the parts of a packed delta; none where it is too large to be sent this way."""
+    """Return the parts of a packed delta; an empty list if it exceeds the limits."""
     count = max(1, -(-len(data) // PART_BYTES))
     if count > MAXIMUM_PARTS or len(data) > MAXIMUM_BYTES:
         return []
@@ -42,24 +42,24 @@
 
 @dataclass(slots=True)
 class _Transfer:
-    begun_at: float
+    started_at: float
     parts: dict[int, bytes] = field(default_factory=dict)
 
 
 class Reassembly:
-    """Transfers under way, a few at a time; an old one gives way to a new one."""
+    """Reassembles up to MAXIMUM_TRANSFERS transfers; a new one evicts expired, then oldest ones."""
 
     def __init__(self) -> None:
         self._transfers: dict[tuple[str, int, int], _Transfer] = {}
 
     def take(self, host: str, message: ViewPart, now: float) -> bytes | None:
-        """Take a part; return the whole once it is there. Raises ValueError where it is none."""
+        """Add a part; return the data when complete. Raises ValueError if decompression fails."""
         if not 0 <= message.part < message.parts <= MAXIMUM_PARTS:
             return None
         key = (host, message.view, message.transfer)
         transfer = self._transfers.get(key)
         if transfer is None:
-            self._make_room(now)
+            self._evict(now)
             transfer = self._transfers[key] = _Transfer(now)
         transfer.parts[message.part] = message.data
         if len(transfer.parts) < message.parts:
@@ -67,15 +67,15 @@
         del self._transfers[key]
         return _unpack(b"".join(transfer.parts[part] for part in sorted(transfer.parts)))
 
-    def _make_room(self, now: float) -> None:
-        kept = {
+    def _evict(self, now: float) -> None:
+        transfers = {
             key: transfer
             for key, transfer in self._transfers.items()
-            if now - transfer.begun_at < TRANSFER_SECONDS
+            if now - transfer.started_at < TRANSFER_SECONDS
         }
-        while len(kept) >= MAXIMUM_TRANSFERS:
-            kept.pop(next(iter(kept)))
-        self._transfers = kept
+        while len(transfers) >= MAXIMUM_TRANSFERS:
+            transfers.pop(next(iter(transfers)))
+        self._transfers = transfers
 
 
 def _unpack(data: bytes) -> bytes:
@@ -84,4 +84,4 @@
     try:
         return zlib.decompressobj().decompress(data[len(COMPRESSED) :], MAXIMUM_BYTES)
     except zlib.error as error:
-        raise ValueError(f"not compressed data: {error}") from error
+        raise ValueError(f"cannot decompress the delta: {error}") from error
--- a/tests/measurements/exchange_bytes.py
+++ b/tests/measurements/exchange_bytes.py
@@ -74,7 +74,7 @@
             kind = type(send.message).__name__
             self.bytes[int(begins), node.host, kind] += size
             due = self.free_at[node.host] + self.delay
-            heappush(self._flying, (due, self.sent, node.host, send.host, send.message))
+            heappush(self._in_transit, (due, self.sent, node.host, send.host, send.message))
 
 
 def report(name: str, network: CountingNetwork, since: float) -> None:
--- a/tests/unit/tokens/test_own_limits.py
+++ b/tests/unit/tokens/test_own_limits.py
@@ -200,17 +200,17 @@
         own = self.HOSTS[0]
         share = self.share(own)
         keys = [key for key in range(200) if not share.holds(key, NOW)]
-        others = dict(share.peers._heard)
-        share.peers._heard = {}
+        others = dict(share.peers._last_seen)
+        share.peers._last_seen = {}
         self.assertFalse(any(share.holds(key, NOW + 1.5) for key in keys))
-        share.peers._heard = others
+        share.peers._last_seen = others
         self.assertFalse(any(share.holds(key, NOW + 3.0) for key in keys))
 
     def test_holders_that_are_gone_are_replaced_within_the_contact_bound(self) -> None:
         own = self.HOSTS[0]
         share = self.share(own)
         keys = [key for key in range(200) if not share.holds(key, NOW)]
-        share.peers._heard = {}
+        share.peers._last_seen = {}
         for draw in range(DRAWS_TO_CHANGE):
             held = [share.holds(key, NOW + 1.0 + draw * 1.1) for key in keys]
         self.assertTrue(all(held))
--- a/tests/unit/views/exchange_network.py
+++ b/tests/unit/views/exchange_network.py
@@ -19,7 +19,7 @@
 DELAY_SECONDS = 0.003
 LATE_SECONDS = reading_times().late_seconds
 MOST_HOPS = 8
-"""A digest tells how old a confirmation is, and its way is not counted."""
+"""Bounds the error of a confirmation's age, which does not include the time in transit."""
 
 
 class Node:
@@ -28,7 +28,7 @@
         self.view: StoreView[BackendRecord] = StoreView()
         self.configuration: StoreView[RoutingConfiguration] = StoreView()
         self.history = ConfigurationHistory()
-        self.heard: list[str] = []
+        self.changed_names: list[str] = []
         views = (
             SharedView(self.view, BACKEND_CODEC, self.take, late_seconds=LATE_SECONDS),
             SharedView(
@@ -44,7 +44,7 @@
         )
 
     def take(self, changes: tuple[ObjectChange[BackendRecord], ...]) -> None:
-        self.heard += [change.name for change in changes]
+        self.changed_names += [change.name for change in changes]
 
     def take_configuration(self, changes: tuple[ObjectChange[RoutingConfiguration], ...]) -> None:
         for change in changes:
@@ -53,7 +53,7 @@
 
 
 class Network:
-    """Nodes on a virtual clock; a datagram takes `delay` seconds, or is lost."""
+    """Nodes on a virtual clock; a datagram arrives after `delay` seconds or is lost."""
 
     def __init__(self, count: int, seed: int, loss: float = 0.0) -> None:
         self.chance = random.Random(seed)
@@ -64,28 +64,28 @@
         self.part_bytes = 0
         hosts = [f"10.0.{number // 250}.{number % 250 + 1}" for number in range(count)]
         self.nodes = {host: Node(host, hosts[:3], self.chance) for host in hosts}
-        self._flying: list[tuple[float, int, str, str, Message]] = []
-        self.cut: set[str] = set()
+        self._in_transit: list[tuple[float, int, str, str, Message]] = []
+        self.partitioned: set[str] = set()
         self.extra_delay: dict[str, float] = {}
-        """Seconds by which what a host sends is late."""
+        """Additional delay of the messages of a host, in seconds."""
 
     def flush(self, node: Node) -> None:
         for send in node.exchange.take_sends():
             self.sent += 1
             if isinstance(send.message, ViewPart):
                 self.part_bytes += len(send.message.data)
-            if self.chance.random() < self.loss or {node.host, send.host} & self.cut:
+            if self.chance.random() < self.loss or {node.host, send.host} & self.partitioned:
                 continue
             due = self.now + self.delay + self.extra_delay.get(node.host, 0.0)
-            heappush(self._flying, (due, self.sent, node.host, send.host, send.message))
+            heappush(self._in_transit, (due, self.sent, node.host, send.host, send.message))
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         step = self.now
         while self.now < end:
             step += STEP_SECONDS
-            while self._flying and self._flying[0][0] <= step:
-                self.now, _, source, target, message = heappop(self._flying)
+            while self._in_transit and self._in_transit[0][0] <= step:
+                self.now, _, source, target, message = heappop(self._in_transit)
                 if target in self.nodes:
                     self.nodes[target].exchange.handle(source, message, self.now)
                     self.flush(self.nodes[target])
@@ -95,7 +95,7 @@
                 self.flush(node)
 
     def learn(self, node: Node, *records: BackendRecord, revision: int) -> None:
-        """Let a node hear of records from the store."""
+        """Apply records to a node as if read from the store."""
         changes = tuple(ObjectChange(record.name, revision, record) for record in records)
         if node.view.revision is None:
             named = [NamedRecord(record.name, revision, record) for record in records]
@@ -107,7 +107,7 @@
         self.flush(node)
 
     def configure(self, node: Node, record: RoutingConfiguration, revision: int) -> None:
-        """Let a node hear of a version from the store."""
+        """Apply a configuration to a node as if read from the store."""
         change = ObjectChange("main", revision, record)
         if node.configuration.revision is None:
             node.configuration.replace([NamedRecord("main", revision, record)], revision)
@@ -118,7 +118,7 @@
         self.flush(node)
 
     def versions(self) -> set[int]:
-        """Return the versions that nodes hold; 0 stands for none."""
+        """Return the set of versions that nodes hold; 0 stands for none."""
         held = [node.history.newest_version for node in self.nodes.values()]
         found = [
             None if revision is None else node.history.find(revision)
--- a/tests/unit/views/test_large_configuration.py
+++ b/tests/unit/views/test_large_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations of many routes, as nodes tell them to each other."""
+"""Exchanging configurations of many routes."""
 
 import unittest
 
@@ -10,15 +10,14 @@
 
 
 class LargeConfigurationTest(unittest.TestCase):
-    """Found on a grown site: a storm of versions with 1,500 routes outran datagrams that get lost,
-    and versions were in force seconds too late."""
+    """Many versions of a large configuration must not delay each other on a lossy network."""
 
     def setUp(self) -> None:
         self.network = Network(30, seed=4, loss=0.03)
         self.network.run(5.0)
         self.first = next(iter(self.network.nodes.values()))
 
-    def test_a_storm_of_versions_reaches_all_and_costs_what_has_changed(self) -> None:
+    def test_many_versions_reach_all_nodes_as_differences(self) -> None:
         self.network.configure(self.first, many_routes(1, 1500), revision=10)
         self.network.run(2.0)
         self.assertEqual(self.network.versions(), {1})
@@ -32,7 +31,7 @@
         self.assertLess(by_node, 1000)
 
     def test_nodes_that_skipped_different_versions_still_get_differences(self) -> None:
-        """Found on a grown site: in a storm of versions nearly all of them were told whole."""
+        """A single base per request is often unknown to the peer, which then sends the whole."""
         first, second = list(self.network.nodes.values())[:2]
         for node, revisions in ((first, (10, 20, 40, 60)), (second, (10, 20, 30, 50))):
             for revision in revisions:
@@ -45,8 +44,8 @@
         second.exchange.handle(first.host, parts[0], self.network.now)
         self.assertEqual(second.history.newest_version, 60)
 
-    def test_a_start_of_all_does_not_fetch_the_same_again_and_again(self) -> None:
-        """Found on a grown site: each fetched the whole three times while it was on its way."""
+    def test_a_node_does_not_fetch_a_whole_view_repeatedly(self) -> None:
+        """A request must not be repeated while its answer is in transit."""
         self.network.delay = 0.12
         self.network.configure(self.first, many_routes(1, 1500), revision=10)
         self.network.run(6.0)
--- a/tests/unit/views/test_pull_choice.py
+++ b/tests/unit/views/test_pull_choice.py
@@ -1,33 +1,33 @@
-"""Who is asked for what a node lacks: able peers, spread, and replaced where they do not answer."""
+"""Choosing the peers to request changes from: by capacity, spread, and replaced on timeout."""
 
 import random
 import unittest
 
 from beamloom.protocol.view_messages import AskElsewhere, ViewDigest, ViewPart, ViewRequest
 from beamloom.replication.answer_budget import MOST_REFERRALS, AnswerBudget
-from beamloom.replication.peer_table import MOST_TOLD, PeerTable
-from beamloom.replication.pull_choice import SILENT_SECONDS, Asked, PullChoice
+from beamloom.replication.peer_table import MAXIMUM_FAN_OUT, PeerTable
+from beamloom.replication.pull_choice import UNANSWERED_AVOID_SECONDS, PendingRequest, PullChoice
 from beamloom.replication.store_view import NamedRecord
-from beamloom.replication.view_pulls import REQUEST_SECONDS
+from beamloom.replication.view_pulls import REQUEST_TIMEOUT_SECONDS
 from beamloom.settings.capacity import LEAST, Capacity
 from tests.unit.tokens.builders import backend
 from tests.unit.views.exchange_network import Network, Node
 
 LARGE = Capacity(2.15, 100.0, 300.0, 4100.0)
 CONTACT_SECONDS = 4.0
-REPLACED_SECONDS = REQUEST_SECONDS + 0.3
-"""A request's patience and a few steps of the test's clock."""
+REPLACED_SECONDS = REQUEST_TIMEOUT_SECONDS + 0.3
+"""A request's timeout and a few steps of the test's clock."""
 
 
 def known(count: int, able: int, capacity: Capacity = LEAST) -> PeerTable:
-    """Return a table of a machine that knows `count` others, the first `able` of them large."""
+    """Return a table with `count` peers, the first `able` of them large."""
     peers = PeerTable("10.0.0.1", [], random.Random(1), "west", capacity)
     for number in range(count):
         host = f"10.0.1.{number}"
         peers.note(host, 1.0, 1.0)
         peers.note_zone(host, "west" if number % 2 == 0 else "east")
         peers.note_capacity(host, LARGE if number < able else LEAST)
-    peers.forget_silent(1.0)
+    peers.remove_expired(1.0)
     return peers
 
 
@@ -35,35 +35,35 @@
     def draws(self, peers: PeerTable, count: int) -> list[int]:
         pulls = PullChoice(peers, random.Random(2))
         for host in peers.hosts():
-            pulls.note_told(0, host, 7, 1.0)
+            pulls.note_revision(0, host, 7, 1.0)
         return [int(pulls.choose(0, 7, 1.0).split(".")[3]) for _ in range(count)]
 
-    def test_able_peers_of_the_own_zone_are_asked_and_share_it(self) -> None:
+    def test_requests_are_spread_over_strong_peers_of_the_own_zone(self) -> None:
         drawn = self.draws(known(40, able=8), 400)
         near = [drawn.count(number) / len(drawn) for number in range(0, 8, 2)]
         self.assertAlmostEqual(sum(near), 8 / 9, delta=0.06)
-        self.assertLess(max(drawn), 8, "one of the least was asked beside larger ones")
+        self.assertLess(max(drawn), 8, "a peer of the least capacity was chosen beside larger ones")
         self.assertLess(max(near), 0.3)
 
-    def test_machines_that_are_alike_share_alike(self) -> None:
+    def test_requests_are_spread_evenly_over_equal_peers(self) -> None:
         drawn = self.draws(known(10, able=0), 2000)
         near = [drawn.count(number) / len(drawn) for number in range(0, 10, 2)]
         self.assertLess(max(near), 1.4 * min(near))
 
-    def test_the_silent_are_passed_over_for_a_while(self) -> None:
+    def test_a_peer_that_did_not_answer_is_avoided_for_a_while(self) -> None:
         pulls = PullChoice(known(2, able=1), random.Random(2))
-        pulls.note_told(0, "10.0.1.0", 7, 1.0)
+        pulls.note_revision(0, "10.0.1.0", 7, 1.0)
         self.assertEqual(pulls.choose(0, 7, 1.0), "10.0.1.0")
-        pulls.asked[0] = Asked("10.0.1.0", 0)
+        pulls.pending[0] = PendingRequest("10.0.1.0", 0)
         pulls.note_unanswered(0, 1.0)
         self.assertEqual(pulls.choose(0, 7, 2.0), "")
-        pulls.note_told(0, "10.0.1.0", 7, 1.0 + SILENT_SECONDS)
-        self.assertEqual(pulls.choose(0, 7, 1.0 + SILENT_SECONDS), "10.0.1.0")
+        pulls.note_revision(0, "10.0.1.0", 7, 1.0 + UNANSWERED_AVOID_SECONDS)
+        self.assertEqual(pulls.choose(0, 7, 1.0 + UNANSWERED_AVOID_SECONDS), "10.0.1.0")
 
-    def test_able_machines_tell_more_peers(self) -> None:
+    def test_stronger_nodes_have_a_larger_fan_out(self) -> None:
         self.assertEqual(known(40, able=0).fan_out(7), 7)
         self.assertEqual(known(40, able=8).fan_out(7), 7)
-        self.assertEqual(known(40, able=8, capacity=LARGE).fan_out(7), MOST_TOLD)
+        self.assertEqual(known(40, able=8, capacity=LARGE).fan_out(7), MAXIMUM_FAN_OUT)
         self.assertEqual(known(0, able=0).fan_out(7), 7)
         self.assertEqual(known(40, able=8).fan_out(1), 1)
 
@@ -71,7 +71,7 @@
 class ReachTest(unittest.TestCase):
     """One machine in eight is large, and a single backend changes now and then."""
 
-    def test_a_change_reaches_everybody_within_a_moment(self) -> None:
+    def test_a_change_reaches_all_nodes_within_300_ms(self) -> None:
         network = Network(120, seed=3)
         nodes = list(network.nodes.values())
         for number, node in enumerate(nodes):
@@ -85,7 +85,7 @@
 
 
 class HolderTest(unittest.TestCase):
-    """Two nodes hold what the others lack; all ask the large one, which does not answer."""
+    """Two nodes have a change; all others request it from the large one, which does not answer."""
 
     def setUp(self) -> None:
         self.network = Network(9, seed=6)
@@ -108,35 +108,35 @@
             self.assertEqual(node.view.revision, 9)
 
     def ask_the_large_one(self) -> None:
-        """Let the digests arrive, and no answer of the large one."""
+        """Deliver digests of the large node, but none of its answers."""
         self.change()
-        self.network.cut = {self.large.host}
+        self.network.partitioned = {self.large.host}
         for node in self.others:
             node.exchange.handle(self.large.host, ViewDigest([[9, 0]], [], []), self.network.now)
             self.network.flush(node)
 
-    def test_a_holder_that_is_cut(self) -> None:
+    def test_a_partitioned_holder_is_replaced(self) -> None:
         self.ask_the_large_one()
         self.assert_replaced()
 
-    def test_a_holder_that_is_lost(self) -> None:
+    def test_a_lost_holder_is_replaced(self) -> None:
         self.ask_the_large_one()
         del self.network.nodes[self.large.host]
         self.assert_replaced()
 
-    def test_a_holder_that_is_slow(self) -> None:
+    def test_a_slow_holder_is_replaced(self) -> None:
         self.change()
         self.network.extra_delay[self.large.host] = 2.0
         self.assert_replaced()
         self.network.run(CONTACT_SECONDS)
         self.assertEqual(self.network.share_at(9), 1.0)
 
-    def test_a_holder_that_is_frozen_and_wakes(self) -> None:
+    def test_a_frozen_holder_is_replaced_and_catches_up(self) -> None:
         self.ask_the_large_one()
         frozen = self.network.nodes.pop(self.large.host)
         self.assert_replaced()
         self.network.run(CONTACT_SECONDS)
-        self.network.cut = set()
+        self.network.partitioned = set()
         self.network.nodes[frozen.host] = frozen
         self.network.learn(self.reader, backend(3), revision=12)
         self.network.run(1.5)
@@ -160,7 +160,7 @@
             if send.host == host and not isinstance(send.message, ViewDigest)
         }
 
-    def test_beyond_its_budget_a_node_names_others_but_lets_nobody_wait(self) -> None:
+    def test_over_budget_a_node_refers_first_attempts_and_answers_later_ones(self) -> None:
         self.assertEqual(self.ask("10.0.0.2"), {ViewPart})
         self.assertEqual(self.ask("10.0.0.3"), {AskElsewhere})
         self.assertEqual(self.ask("10.0.0.3", attempt=MOST_REFERRALS), {ViewPart})
@@ -168,19 +168,19 @@
             self.ask("10.0.0.4", attempt=MOST_REFERRALS)
         self.assertEqual(self.ask("10.0.0.4", attempt=MOST_REFERRALS), {AskElsewhere})
 
-    def test_closed_it_answers_nobody_who_can_ask_elsewhere(self) -> None:
+    def test_at_share_zero_it_refers_until_the_last_attempt(self) -> None:
         self.node.exchange.use_limits(0.0)
         self.assertEqual(self.ask("10.0.0.2", attempt=MOST_REFERRALS), {AskElsewhere})
         self.assertEqual(self.ask("10.0.0.2", attempt=MOST_REFERRALS + 1), {ViewPart})
 
-    def test_who_knows_nobody_else_answers(self) -> None:
+    def test_a_node_without_peers_answers(self) -> None:
         lone = Node("10.0.0.1", [], random.Random(1))
         lone.view.replace([], 5)
         lone.exchange.use_limits(0.0)
         lone.exchange.handle("10.0.0.2", ViewRequest(0, -1), 1.0)
         self.assertTrue(any(isinstance(s.message, ViewPart) for s in lone.exchange.take_sends()))
 
-    def test_the_bucket_fills_again(self) -> None:
+    def test_the_bucket_refills(self) -> None:
         budget = AnswerBudget(LEAST)
         budget.note_sent(60_000)
         self.assertFalse(budget.admits(0, 0.1))
@@ -188,15 +188,15 @@
 
 
 class StoreFirstTest(unittest.TestCase):
-    def test_what_the_store_has_told_meanwhile_is_not_asked_for(self) -> None:
-        """Else nodes that start together, and read the store, greet each other for nothing."""
+    def test_changes_read_from_the_store_meanwhile_are_not_requested(self) -> None:
+        """Nodes that start together and read the store would send useless requests and digests."""
         node = Node("10.0.0.1", [], random.Random(1))
         node.exchange.handle("10.0.0.2", ViewDigest([[5, 10]], [], []), 1.0)
         node.view.replace([], 5)
         node.exchange.advance(1.0)
         node.exchange.take_sends()
         for step in range(1, 4):
-            node.exchange.advance(1.0 + REQUEST_SECONDS + step / 50)
+            node.exchange.advance(1.0 + REQUEST_TIMEOUT_SECONDS + step / 50)
         self.assertEqual(node.exchange.take_sends(), [])
 
 
@@ -211,13 +211,13 @@
         network.run(1.0)
         self.assertEqual(network.share_at(5), 1.0)
 
-    def test_a_referral_that_nobody_asked_for_is_passed_over(self) -> None:
+    def test_an_unsolicited_referral_is_ignored(self) -> None:
         node = Node("10.0.0.1", [], random.Random(1))
         node.exchange.handle("10.0.0.2", AskElsewhere(7, ["10.9.9.9"]), 1.0)
         node.exchange.handle("10.0.0.2", AskElsewhere(0, ["10.9.9.9"]), 1.0)
         self.assertEqual(node.exchange.take_sends(), [])
 
-    def test_hosts_that_are_no_peers_are_not_asked(self) -> None:
+    def test_referred_hosts_that_are_not_peers_are_not_asked(self) -> None:
         node = Node("10.0.0.1", [], random.Random(1))
         node.exchange.handle("10.0.0.2", ViewDigest([[5, 10]], [], []), 1.0)
         node.exchange.take_sends()
--- a/tests/unit/views/test_restored_views.py
+++ b/tests/unit/views/test_restored_views.py
@@ -282,14 +282,14 @@
         self.network.learn(self.first, draining, revision=revision_in_era(2, 41))
         self.network.run(1.0)
         for node in self.others:
-            self.assertEqual(node.heard[-1], draining.name)
+            self.assertEqual(node.changed_names[-1], draining.name)
 
     def test_a_node_that_was_partitioned_leaves_the_former_era(self) -> None:
         late = self.others[0]
-        self.network.cut.add(late.host)
+        self.network.partitioned.add(late.host)
         self.restore(backend(2), number=40)
         self.assertEqual(era_of(late.view.revision or 0), 1)
-        self.network.cut.clear()
+        self.network.partitioned.clear()
         self.network.run(3.0)
         found = {node.view.revision for node in self.network.nodes.values()}
         self.assertEqual(found, {revision_in_era(2, 40)})
--- a/tests/unit/views/test_view_exchange.py
+++ b/tests/unit/views/test_view_exchange.py
@@ -1,11 +1,11 @@
-"""Nodes that tell each other what they know of the store, over a network that loses datagrams."""
+"""Nodes that exchange views over a network that loses datagrams."""
 
 import random
 import unittest
 
 from beamloom.node.view_codecs import BACKEND_CODEC
 from beamloom.protocol.view_messages import ViewDigest, ViewPart, ViewRequest
-from beamloom.replication.peer_table import OWN_ZONE_SHARE, PEER_SILENCE_SECONDS, PeerTable
+from beamloom.replication.peer_table import OWN_ZONE_SHARE, PEER_EXPIRY_SECONDS, PeerTable
 from beamloom.replication.stop_turns import StopState
 from tests.unit.tokens.builders import backend
 from tests.unit.views.exchange_network import DELAY_SECONDS, MOST_HOPS, Network, Node
@@ -17,7 +17,7 @@
         self.network.run(4.0)
         self.first = next(iter(self.network.nodes.values()))
 
-    def test_a_state_of_a_stop_that_is_not_known_counts_as_none(self) -> None:
+    def test_an_unknown_stop_state_counts_as_serving(self) -> None:
         network = Network(2, seed=1)
         first = next(iter(network.nodes.values()))
         for stop, expected in ((StopState.AWAY, False), (9, True)):
@@ -26,8 +26,8 @@
             first.exchange.ask_to_stop(1.0)
             self.assertEqual(first.exchange.may_go_away(2.0), expected)
 
-    def test_a_confirmation_counts_as_soon_as_what_it_confirms_is_there(self) -> None:
-        """Found by counting calls: nodes that lacked other kinds' changes asked the store."""
+    def test_a_confirmation_takes_effect_when_its_revision_is_merged(self) -> None:
+        """Changes of other kinds must not delay confirmations, or all nodes ask the store."""
         network = Network(4, seed=3)
         first, *others = network.nodes.values()
         network.learn(first, backend(1), revision=10)
@@ -42,11 +42,11 @@
             self.assertGreaterEqual(node.view.confirmed_at, at)
             self.assertLess(node.view.confirmed_at, at + MOST_HOPS * DELAY_SECONDS)
 
-    def test_all_meet_by_the_seeds(self) -> None:
+    def test_all_nodes_discover_each_other_through_the_seeds(self) -> None:
         for node in self.network.nodes.values():
             self.assertEqual(len(node.exchange.peers), 6)
 
-    def test_a_change_reaches_all_at_once(self) -> None:
+    def test_a_change_reaches_all_nodes_within_100_ms(self) -> None:
         self.network.learn(self.first, backend(1), revision=5)
         self.network.run(0.1)
         self.assertEqual(self.network.share_at(5), 1.0)
@@ -55,9 +55,9 @@
         self.assertEqual(self.network.share_at(9), 1.0)
         for node in self.network.nodes.values():
             if node is not self.first:
-                self.assertEqual(node.heard, [backend(1).name, backend(2).name])
+                self.assertEqual(node.changed_names, [backend(1).name, backend(2).name])
 
-    def test_a_confirmation_reaches_all(self) -> None:
+    def test_a_confirmation_reaches_all_nodes(self) -> None:
         self.network.learn(self.first, backend(1), revision=5)
         self.network.run(3.0)
         self.first.view.confirm(self.network.now)
@@ -69,28 +69,28 @@
             assert confirmed is not None
             self.assertLess(self.network.now - confirmed, 0.2)
 
-    def test_a_node_that_was_cut_off_hears_when_it_is_back(self) -> None:
+    def test_a_partitioned_node_catches_up_when_it_is_back(self) -> None:
         lone = list(self.network.nodes.values())[-1]
         self.network.learn(self.first, backend(1), revision=5)
         self.network.run(0.2)
-        self.network.cut = {lone.host}
+        self.network.partitioned = {lone.host}
         self.network.learn(self.first, backend(2), revision=6)
         self.network.run(5.0)
         self.assertEqual(lone.view.revision, 5)
-        self.network.cut = set()
+        self.network.partitioned = set()
         self.network.run(2.5)
         self.assertEqual(lone.view.revision, 6)
 
-    def test_hosts_that_are_gone_are_forgotten(self) -> None:
+    def test_lost_hosts_expire(self) -> None:
         gone = list(self.network.nodes)[-1]
         del self.network.nodes[gone]
-        self.network.run(PEER_SILENCE_SECONDS + 5.0)
+        self.network.run(PEER_EXPIRY_SECONDS + 5.0)
         for node in self.network.nodes.values():
             self.assertEqual(len(node.exchange.peers), 5)
 
 
 class LargeFleetTest(unittest.TestCase):
-    def test_a_change_reaches_300_nodes_with_one_in_a_hundred_lost(self) -> None:
+    def test_a_change_reaches_300_nodes_at_one_percent_loss(self) -> None:
         network = Network(300, seed=2, loss=0.01)
         network.run(15.0)
         first = next(iter(network.nodes.values()))
@@ -101,7 +101,7 @@
             network.run(2.0)
             self.assertEqual(network.share_at(revision), 1.0)
 
-    def test_what_a_node_sends_does_not_grow_with_the_fleet(self) -> None:
+    def test_messages_per_node_do_not_grow_with_the_fleet(self) -> None:
         rates = {}
         for count in (50, 300):
             network = Network(count, seed=3)
@@ -121,7 +121,7 @@
 
 
 class ZonesTest(unittest.TestCase):
-    def test_most_of_what_a_node_tells_stays_in_its_zone(self) -> None:
+    def test_most_chosen_peers_are_in_the_own_zone(self) -> None:
         peers = PeerTable("10.0.0.1", [], random.Random(1), "west")
         for number in range(40):
             host = f"10.0.1.{number}"
@@ -134,7 +134,7 @@
         named = [int(host.split(".")[3]) for _ in range(300) for host, _ in peers.sample(1.0)]
         self.assertAlmostEqual(sum(n % 4 == 0 for n in named) / len(named), 1 / 4, delta=0.05)
 
-    def test_few_peers_of_the_own_zone_are_no_obstacle(self) -> None:
+    def test_choose_works_with_one_peer_in_the_own_zone(self) -> None:
         peers = PeerTable("10.0.0.1", [], random.Random(1), "west")
         for number in range(20):
             peers.note(f"10.0.1.{number}", 1.0, 1.0)
@@ -142,7 +142,7 @@
         for count in (1, 2, 6, 19, 20, 30):
             self.assertEqual(len(set(peers.choose(count))), min(20, count))
 
-    def test_all_peers_may_be_of_the_own_zone(self) -> None:
+    def test_choose_works_with_all_peers_in_the_own_zone(self) -> None:
         peers = PeerTable("10.0.0.1", [], random.Random(1), "west")
         for number in range(20):
             peers.note(f"10.0.1.{number}", 1.0, 1.0)
@@ -159,12 +159,12 @@
         self.assertEqual(node.exchange.counters["unreadable"], 1)
         self.assertEqual(node.exchange.take_sends(), [])
 
-    def test_codecs_refuse_what_is_no_delta(self) -> None:
+    def test_codecs_reject_invalid_deltas(self) -> None:
         for data in (b"", b"\x01", b"\x83\x01\x02\x03", b"\x83\x01\x02\x81\x83\x61a\x01\x81\x01"):
             with self.assertRaises(ValueError):
                 BACKEND_CODEC.decode(data)
 
-    def test_a_digest_of_another_version_with_more_kinds_is_read_as_far_as_known(self) -> None:
+    def test_unknown_kinds_in_a_digest_are_ignored(self) -> None:
         node = Node("10.0.0.1", [], random.Random(1))
         node.exchange.handle("10.0.0.2", ViewDigest([[5, 10], [9, 9], [8, 8]], [], []), 1.0)
         requests = [send.message for send in node.exchange.take_sends()]
