--- a/src/beamloom/replication/change_log.py
+++ b/src/beamloom/replication/change_log.py
@@ -1,4 +1,4 @@
-"""A bounded log of recent changes, from which a peer that lags is brought up to date."""
+"""A bounded log of recent changes, from which peers that are behind are updated."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 
 def encoded_size(change: ReplicatedChange) -> int:
-    """Return how many bytes a change takes in a message."""
+    """Return the size of a change in a message, in bytes."""
     return len(cbor2.dumps(change_to_list(change)))
 
 
 def fits_one_message(change: ReplicatedChange) -> bool:
-    """Return whether a change can be pushed at all; a longer one travels by snapshot."""
+    """Return whether a change can be pushed; a longer one is only sent in a snapshot."""
     return encoded_size(change) <= PUSH_SIZE_LIMIT
 
 
 def pack_changes(changes: Iterable[ReplicatedChange]) -> list[list[ReplicatedChange]]:
     """Split changes, in order, into groups that fit one message each."""
     groups: list[list[ReplicatedChange]] = []
-    room = 0
+    remaining = 0
     for change in changes:
         size = encoded_size(change)
-        if not groups or size > room:
+        if not groups or size > remaining:
             groups.append([])
-            room = PUSH_SIZE_LIMIT
+            remaining = PUSH_SIZE_LIMIT
         groups[-1].append(change)
-        room -= size
+        remaining -= size
     return groups
 
 
@@ -45,7 +45,7 @@
         self._changes: deque[ReplicatedChange] = deque(maxlen=capacity)
 
     def __len__(self) -> int:
-        """Return how many changes are kept."""
+        """Return the number of changes in the log."""
         return len(self._changes)
 
     def append(self, change: ReplicatedChange) -> None:
@@ -53,11 +53,11 @@
         self._changes.append(change)
 
     def clear(self) -> None:
-        """Forget every change, when a snapshot took their place."""
+        """Remove all changes, after a snapshot has replaced them."""
         self._changes.clear()
 
     def after(self, revision: int) -> list[ReplicatedChange] | None:
-        """Return the changes that follow `revision`; None when the log does not hold them all."""
+        """Return the changes after `revision`; None if the log does not contain them all."""
         newer: list[ReplicatedChange] = []
         for change in reversed(self._changes):
             if change.revision <= revision:
--- a/src/beamloom/replication/peer_selection.py
+++ b/src/beamloom/replication/peer_selection.py
@@ -1,4 +1,4 @@
-"""Random choice of the peers that gossip goes to."""
+"""Random selection of the peers that gossip is sent to."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PeerSelection:
-    """The members that answer, other than this node, and random picks of them."""
+    """The responsive members other than this node, and random selections of them."""
 
     def __init__(self, node_id: NodeId, chance: random.Random) -> None:
         self._node_id = node_id
@@ -19,7 +19,7 @@
         self.any_alive = False
 
     def update(self, members: Sequence[Member]) -> None:
-        """Learn who is a member."""
+        """Replace the members to select from."""
         others = [item for item in members if item.answers]
         others = [item for item in others if item.machine.node_id != self._node_id]
         self.all = [item.machine.node_id for item in others]
--- a/src/beamloom/replication/reading_times.py
+++ b/src/beamloom/replication/reading_times.py
@@ -1,7 +1,7 @@
-"""How often a fleet asks the store, derived from how soon a change must be in force.
+"""Derives the intervals of calls to the store from how soon a change must be in force.
 
-A change is heard late at worst when all readers died just after their last answers: then every
-node notices that its view has become stale, and asks for itself.
+In the worst case all readers die just after their last answers. Then each node asks the store
+itself once its view is stale.
 """
 
 from typing import NamedTuple
@@ -9,47 +9,49 @@
 from beamloom.settings.mechanisms import ALL_MECHANISMS, Mechanisms
 
 CALL_PATIENCE_SECONDS = 0.7
-"""How long an answer may take, beyond what the store was asked to wait."""
+"""How long an answer may take, in addition to the wait that the call requests."""
 FIRST_PAUSE_SECONDS = 0.1
 LONGEST_PAUSE_SECONDS = 0.8
-"""The shortest bound and the longest pause between calls that fail."""
+"""The base and the upper limit of the random pause between failing calls."""
 STALE_SPREAD_SECONDS = 0.3
-"""Nodes whose views become stale together do not all ask at once: the first one tells the rest."""
+"""Spreads the calls of nodes whose views become stale together; the first answer is gossiped."""
 LONGEST_STALE_SECONDS = 3.0
-"""Where the bound leaves more, nobody is to hear so late all the same."""
+"""The upper limit of staleness, even if the bound allows more."""
 LONGEST_WAIT_SECONDS = 2.2
-"""Three quarters of the longest staleness, rounded down: see WAIT_SHARE_OF_STALE."""
+"""The upper limit of a watch's wait: WAIT_SHARE_OF_STALE of the longest staleness, rounded down."""
 LONGEST_EVACUATION_STALE_SECONDS = 4.0
-"""Evacuations are rare, and nothing is lost by one that is heard late but within its bound."""
+"""Evacuations are rare, and a late one does no harm within its bound."""
 LONGEST_UNCONFIRMED_SECONDS = 1.6
-"""After a common start a reader is heard of by then (0.7 to 1.4 s: join, listening, hesitation)."""
+"""After a start of all nodes, a reader is usually known by then."""
 LONGEST_GATHER_SECONDS = 0.6
 GATHER_SHARE_OF_WAIT = 0.25
-"""What is gathered is heard by that much later."""
+"""Gathered changes are delayed by up to this share of the wait."""
 WAIT_SHARE_OF_STALE = 0.75
-"""The rest is the time in which a late confirmation may come from peers or the other reader."""
-SHORTEST_SECONDS = 0.1
-"""No time becomes shorter, whatever the bounds say."""
+"""The rest is left for a late confirmation from peers or from the other reader."""
+MINIMUM_SECONDS = 0.1
+"""The lower limit of staleness and wait, whatever the bounds."""
 LATE_SHARE = 0.2
 OVERDUE_SHARE = 0.6
-"""How far between a watch's wait and staleness a node asks its peers, and a reader of other kinds
-steps in.
+"""The points between a watch's wait and staleness at which a node probes its peers (late), and a
+reader of other kinds calls the store (overdue).
 """
 DEFAULT_BOUND_SECONDS = 3.0
 DEFAULT_CONTACT_SECONDS = 4.0
 
 
 class ReadingTimes(NamedTuple):
-    """How long things may take.
+    """The times of a node's calls to the store, in seconds.
 
-    `wait_seconds` is how long a reader lets a watch wait, `stale_seconds` after how long without a
-    confirmation a node asks for itself, `silence_seconds` after how long without an answer a reader
-    is not counted on any more. `unconfirmed_seconds` is how long a node that began with a stale
-    list leaves it to its peers to tell what has changed since. `gather_seconds` is how long a
-    reader lets further changes come together before it asks for them. `overdue_seconds` is after
-    how long without a confirmation a reader asks for what another one reads, before all would;
-    `late_seconds` is after how long a node asks its peers. `outage_pause_seconds` is the longest
-    pause of a node between calls that fail, where many others call as well.
+    - `wait_seconds`: how long a reader's watch may wait.
+    - `stale_seconds`: how long without a confirmation until a node asks the store itself.
+    - `silence_seconds`: how long after its last answer a reader expires.
+    - `unconfirmed_seconds`: how long a node that began with a stale list waits for changes from
+      its peers.
+    - `gather_seconds`: how long a reader pauses after changes, to read further ones together.
+    - `overdue_seconds`: how long without a confirmation until a reader calls the store for a kind
+      that another reader reads.
+    - `late_seconds`: how long without a confirmation until a node probes its peers.
+    - `outage_pause_seconds`: the longest pause between failing calls in a large fleet.
     """
 
     wait_seconds: float
@@ -70,19 +72,18 @@
     longest_stale_seconds: float = LONGEST_STALE_SECONDS,
     longest_wait_seconds: float = LONGEST_WAIT_SECONDS,
 ) -> ReadingTimes:
-    """Return the times for a bound on hearing of changes.
+    """Return the times for a bound on the delay of changes.
 
-    After an outage of the store a node must hear again within `contact_seconds`: a watch that
-    hangs, a pause and one more call fit in there. `longest_stale_seconds` is how long a view may go
-    without a confirmation, `longest_wait_seconds` how long a watch may wait, where the bound would
-    leave more.
+    After an outage of the store a node must read again within `contact_seconds`, in which a hanging
+    watch, a pause and one more call must fit. `longest_stale_seconds` and `longest_wait_seconds`
+    limit staleness and a watch's wait where the bound would allow more.
     """
     call = CALL_PATIENCE_SECONDS + STALE_SPREAD_SECONDS
     stale = min(longest_stale_seconds, bound_seconds - call)
     hanging = contact_seconds - 2 * CALL_PATIENCE_SECONDS - LONGEST_PAUSE_SECONDS
     wait = min(longest_wait_seconds, WAIT_SHARE_OF_STALE * stale, hanging)
-    wait = max(SHORTEST_SECONDS, wait)
-    stale = max(SHORTEST_SECONDS, stale)
+    wait = max(MINIMUM_SECONDS, wait)
+    stale = max(MINIMUM_SECONDS, stale)
     gather = min(LONGEST_GATHER_SECONDS, GATHER_SHARE_OF_WAIT * wait)
     return ReadingTimes(
         wait_seconds=wait,
@@ -101,9 +102,9 @@
     contact_seconds: float = DEFAULT_CONTACT_SECONDS,
     mechanisms: Mechanisms = ALL_MECHANISMS,
 ) -> ReadingTimes:
-    """Return the times for evacuations, which are asked for less often than the other kinds.
+    """Return the times for evacuations, which are read less often than the other kinds.
 
-    A node that has just started leaves them to its peers for as long as a watch may hang.
+    A node that has just started waits for its peers for at least `wait_seconds`.
     """
     times = reading_times(
         evacuate_seconds,
--- a/src/beamloom/replication/reading_turn.py
+++ b/src/beamloom/replication/reading_turn.py
@@ -1,4 +1,4 @@
-"""When a node asks the store for one kind of object, what for, and how long it rests in between."""
+"""Decides when a node calls the store for one kind of object, why, and how long it pauses."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from beamloom.replication.reading_times import STALE_SPREAD_SECONDS, ReadingTimes
 
 STALE_WITHOUT_READERS_SECONDS = 0.7
-"""Where no reader is heard of, as after a start of all nodes, a view counts as stale sooner."""
+"""While no reader is known, as after a start of all nodes, a view becomes stale sooner."""
 
 
 class CallPurpose(Enum):
-    """What a call to the store is for; the values are counter labels."""
+    """The purpose of a call to the store; the values are counter labels."""
 
     START = "start"
     HISTORY_LOST = "history_lost"
@@ -25,12 +25,11 @@
 
 
 class ReadingTurn:
-    """Whether this node is to ask the store for one kind of object, the `kind`th, now.
+    """The calls of one node for one kind of object, which has the number `kind`.
 
-    `times` are those of the duty where they are not given. With `begins_with_peers` a node that
-    starts leaves the first list to its peers to tell, for as long as it would leave to them what
-    has changed since a stale list. A node that is no reader does not ask while calls for the kind
-    that `leader` reads fail.
+    `times` defaults to that of `duty`. With `begins_with_peers` a starting node waits for a list
+    from its peers before it lists the store itself, as long as it waits for their changes after a
+    stale list. While calls of `leader`, the watch of another kind, fail, only readers call.
     """
 
     def __init__(
@@ -51,15 +50,15 @@
         self._times = duty.times if times is None else times
         self._chance = chance
         self._stale_after = self._times.stale_seconds
-        self._spread = 0.0
+        self._stale_spread = 0.0
         self._begins_with_peers = begins_with_peers
-        self._lists_from: float | None = None
+        self._lists_at: float | None = None
         self._unconfirmed_until = float("-inf")
-        self._gathered = 0.0
+        self._gather_seconds = 0.0
 
     @property
     def purpose(self) -> CallPurpose:
-        """What the next call is for; a node that does not read asks to have its view confirmed."""
+        """The purpose of the next call."""
         if self._watch.failures:
             return CallPurpose.RETRY
         if not self._watch.holds_stale:
@@ -71,19 +70,19 @@
 
     @property
     def wait_seconds(self) -> float:
-        """How long a watch may wait: 0 but for a reader that others have heard of."""
+        """How long a watch may wait: 0 unless this node reads the kind and is advertised."""
         if not self._duty.reads(self._kind) or not self._duty.answered:
             return 0.0
-        return self._times.wait_seconds - self._gathered
+        return self._times.wait_seconds - self._gather_seconds
 
     def must_ask(self, now: float) -> bool:
-        """Whether to ask now: as a reader, for want of a list, or as the view has become stale."""
+        """Whether to call now: as a reader, for a missing list, or because the view is stale."""
         if self._duty.reads(self._kind):
             return True
         if self._leader is not None and self._leader.failures:
             return False
         if self._watch.must_list and not self._watch.holds_stale:
-            return not self._leaves_list_to_peers(now)
+            return not self._awaits_list_from_peers(now)
         return self._is_stale(now)
 
     def _is_stale(self, now: float) -> bool:
@@ -91,45 +90,49 @@
         if age is None:
             return now >= self._unconfirmed_until
         if not (self._duty.recent(now) or self._duty.expects_reader):
-            return age >= min(self._stale_after, STALE_WITHOUT_READERS_SECONDS + self._spread)
+            return age >= min(self._stale_after, STALE_WITHOUT_READERS_SECONDS + self._stale_spread)
         if self._duty.reading:
             return age >= self._times.overdue_seconds
         return age >= self._stale_after
 
-    def _leaves_list_to_peers(self, now: float) -> bool:
-        """Whether a node without a list may yet be told it by its peers.
+    def _awaits_list_from_peers(self, now: float) -> bool:
+        """Whether to wait for a list from peers instead of listing the store.
 
-        Where a stale list was empty, the fleet starts for the first time, and operators have yet to
-        write: of 146 nodes that started together each made a call more at full price, to no avail.
+        This applies after an empty stale list too: the store may hold nothing yet, and a fresh list
+        by every starting node would be wasted.
         """
         waits = self._begins_with_peers or self._watch.rejected_empty_list
         if not waits or self._watch.view.revision is not None:
             return False
-        if self._lists_from is None:
+        if self._lists_at is None:
             spread = self._chance.uniform(0.0, STALE_SPREAD_SECONDS)
-            self._lists_from = now + self._times.unconfirmed_seconds + spread
-        return now < self._lists_from
+            self._lists_at = now + self._times.unconfirmed_seconds + spread
+        return now < self._lists_at
 
     def note_answer(self, now: float, *, changes: bool) -> float:
-        """Note an answer of the store; return the seconds to rest before the next call.
+        """Record an answer of the store; return the seconds to pause before the next call.
 
-        Changes come in bursts, each of which would else cost every reader a call of its own. When
-        the view will count as stale is drawn anew, so that not all nodes ask at once.
+        The pause after changes lets a burst of them arrive in one answer. The time at which the
+        view becomes stale is drawn again, so that not all nodes ask at once.
         """
-        self._spread = self._chance.uniform(0.0, STALE_SPREAD_SECONDS)
-        self._stale_after = self._times.stale_seconds + self._spread
-        self._unconfirmed_until = now + self._times.unconfirmed_seconds + self._spread
-        self._gathered = self._times.gather_seconds if changes else 0.0
-        return self._gathered
+        self._stale_spread = self._chance.uniform(0.0, STALE_SPREAD_SECONDS)
+        self._stale_after = self._times.stale_seconds + self._stale_spread
+        self._unconfirmed_until = now + self._times.unconfirmed_seconds + self._stale_spread
+        self._gather_seconds = self._times.gather_seconds if changes else 0.0
+        return self._gather_seconds
 
     def note_failure(self, now: float) -> float:
-        """Note a call without a usable answer; return the seconds to rest before the next one."""
+        """Record a call without a usable answer; return the seconds to pause before the next one.
+
+        The pause depends on the size of the fleet, unless this node lacks a list or is a reader
+        that was answered recently.
+        """
         self._duty.note_failure(now)
-        knows_nothing = self._watch.must_list and not self._watch.holds_stale
-        relied_on = knows_nothing or (self._duty.reading and self._duty.answered)
-        return self._watch.take_failure(0.0 if relied_on else self._duty.shared_pause_seconds())
+        lacks_list = self._watch.must_list and not self._watch.holds_stale
+        is_urgent = lacks_list or (self._duty.reading and self._duty.answered)
+        return self._watch.take_failure(0.0 if is_urgent else self._duty.shared_pause_seconds())
 
     def distrust(self) -> None:
-        """Ask again before anything else: what was heard meanwhile looks newer than it is."""
+        """Discard the confirmation, as after a stall, which makes old messages look recent."""
         self._watch.view.confirmed_at = None
         self._unconfirmed_until = float("-inf")
--- a/src/beamloom/replication/silence_reports.py
+++ b/src/beamloom/replication/silence_reports.py
@@ -1,8 +1,8 @@
-"""Which backends do not answer, or with errors, as far as nodes have told each other lately.
+"""Reports of backends that do not answer, or answer with errors.
 
-In a large fleet a node opens few flows at a backend, so each node by itself would need seconds, and
-clients' time, to find out what others know. One node's word is not enough: its own way to the
-backend may be cut. Reports run out by themselves.
+In a large fleet a node opens few flows at a backend, so each node alone would take seconds to
+detect a failure, while clients wait. One reporter is not enough, as its own path to the backend may
+be broken. Reports expire.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 from typing import NamedTuple
 
 REPORT_SECONDS = 3.0
-"""How long a report counts; a backend that still does not answer is reported again."""
-FORGET_EACH_SECONDS = 0.5
+"""How long a report counts; a backend that is still silent is reported again."""
+EXPIRY_INTERVAL_SECONDS = 0.5
 REPORTERS_NEEDED = 2
 MAXIMUM_BACKENDS = 256
-REPORTS_TOLD = 8
-NEWS_SECONDS = 1.0
-"""A report is passed on if it is new, or newer by so much than what was known."""
+MAXIMUM_REPORTS_SENT = 8
+UPDATE_STEP_SECONDS = 1.0
+"""A report replaces and is forwarded like a new one only if it is newer by this much."""
 
 
 class SilenceReport(NamedTuple):
-    """A node found that a backend did not answer an opening, or with an error; `at` in seconds."""
+    """A backend did not answer an opening of `reporter` at a time, or answered with an error."""
 
     backend: str
     reporter: str
@@ -28,47 +28,47 @@
 
 
 class SilenceReports:
-    """What a node knows of such reports, its own among them."""
+    """The recent reports that a node made or received."""
 
     def __init__(self) -> None:
         self._reports: dict[str, dict[str, float]] = {}
-        self._news = False
-        self._forgot_at = float("-inf")
+        self._has_unsent = False
+        self._expired_at = float("-inf")
 
     def note(self, report: SilenceReport, now: float) -> bool:
-        """Take a report; return whether enough nodes have now reported that backend."""
+        """Add a report; return whether enough nodes have now reported that backend."""
         if now - report.at >= REPORT_SECONDS:
             return False
-        self._forget_old(now)
+        self._expire(now)
         reporters = self._reports.get(report.backend)
         if reporters is None:
             if len(self._reports) >= MAXIMUM_BACKENDS:
                 return False
             reporters = self._reports[report.backend] = {}
-        if _take(reporters, report):
-            self._news = True
+        if _keep_if_newer(reporters, report):
+            self._has_unsent = True
         return len(reporters) >= REPORTERS_NEEDED
 
     def take_news(self) -> bool:
-        """Return once whether there is something that others may not know."""
-        news, self._news = self._news, False
-        return news
+        """Return whether reports were added since the last call."""
+        has_unsent, self._has_unsent = self._has_unsent, False
+        return has_unsent
 
     def recent(self, now: float) -> list[SilenceReport]:
-        """Return the reports that others are to be told, the latest first."""
-        self._forget_old(now)
+        """Return the reports to put into a digest, the latest first."""
+        self._expire(now)
         reports = [
             SilenceReport(backend, reporter, at)
             for backend, reporters in self._reports.items()
             for reporter, at in reporters.items()
         ]
         reports.sort(key=lambda report: -report.at)
-        return reports[:REPORTS_TOLD]
+        return reports[:MAXIMUM_REPORTS_SENT]
 
-    def _forget_old(self, now: float) -> None:
-        if now - self._forgot_at < FORGET_EACH_SECONDS:
+    def _expire(self, now: float) -> None:
+        if now - self._expired_at < EXPIRY_INTERVAL_SECONDS:
             return
-        self._forgot_at = now
+        self._expired_at = now
         kept = {
             backend: {who: at for who, at in reporters.items() if now - at < REPORT_SECONDS}
             for backend, reporters in self._reports.items()
@@ -76,13 +76,16 @@
         self._reports = {backend: reporters for backend, reporters in kept.items() if reporters}
 
 
-def _take(reporters: dict[str, float], report: SilenceReport) -> bool:
-    """Keep a report if it is news; the latest of REPORTERS_NEEDED reporters are enough."""
+def _keep_if_newer(reporters: dict[str, float], report: SilenceReport) -> bool:
+    """Add a report; return whether it was new.
+
+    Only REPORTERS_NEEDED reporters are kept; a new one replaces the one with the oldest report.
+    """
     replaced: str | None = report.reporter if report.reporter in reporters else None
     if replaced is None and len(reporters) >= REPORTERS_NEEDED:
         replaced = min(reporters, key=lambda reporter: reporters[reporter])
     if replaced is not None:
-        if report.at - reporters[replaced] < NEWS_SECONDS:
+        if report.at - reporters[replaced] < UPDATE_STEP_SECONDS:
             return False
         del reporters[replaced]
     reporters[report.reporter] = report.at
--- a/src/beamloom/replication/view_exchange.py
+++ b/src/beamloom/replication/view_exchange.py
@@ -323,7 +323,7 @@
             ]
             for shared in self.views
         ]
-        readers = [(name, _age(at, now)) for name, at in self._duty.foremost(now)]
+        readers = [(name, _age(at, now)) for name, at in self._duty.advertised_readers(now)]
         sample = self.peers.sample(now) if names_peers else []
         peers = [(host, int(age * MILLISECONDS)) for host, age in sample]
         ranks = [self.peers.rank_of(host) for host, _ in peers]
--- a/tests/unit/views/test_reader_duty.py
+++ b/tests/unit/views/test_reader_duty.py
@@ -1,4 +1,4 @@
-"""A few nodes read the store, chosen without a controller and replaced when they are gone."""
+"""Choosing the few nodes that read the store, and replacing those that fail."""
 
 import random
 import unittest
@@ -19,11 +19,11 @@
 )
 
 STEP_SECONDS = 0.25
-WAY_SECONDS = 0.01
+DELAY_SECONDS = 0.01
 
 
 class Fleet:
-    """Nodes that hear at each step of every reader that is alive."""
+    """Nodes that learn of every live reader at each step."""
 
     def __init__(self, count: int, seed: int) -> None:
         chance = random.Random(seed)
@@ -42,7 +42,7 @@
             for name in self.readers:
                 self.duties[name].note_answer(self.now)
                 for duty in self.duties.values():
-                    duty.note_reader(name, self.now - WAY_SECONDS)
+                    duty.note_reader(name, self.now - DELAY_SECONDS)
 
     @property
     def readers(self) -> list[str]:
@@ -50,30 +50,30 @@
 
 
 class ReaderDutyTest(unittest.TestCase):
-    def test_the_bounds_fit_together(self) -> None:
+    def test_times_keep_their_bounds(self) -> None:
         for bound, contact in ((3.0, 4.0), (2.5, 4.0), (2.0, 3.0), (10.0, 20.0), (1.5, 2.5)):
             with self.subTest(bound=bound, contact=contact):
                 times = reading_times(bound, contact)
                 self.assertGreater(times.silence_seconds, times.wait_seconds)
                 self.assertGreater(times.stale_seconds, times.wait_seconds)
-                last_chance = times.stale_seconds + STALE_SPREAD_SECONDS + CALL_PATIENCE_SECONDS
-                self.assertLessEqual(last_chance, bound + 1e-9)
+                latest = times.stale_seconds + STALE_SPREAD_SECONDS + CALL_PATIENCE_SECONDS
+                self.assertLessEqual(latest, bound + 1e-9)
                 hanging = times.wait_seconds + 2 * CALL_PATIENCE_SECONDS + LONGEST_PAUSE_SECONDS
                 self.assertLessEqual(hanging, contact + 1e-9)
 
-    def test_a_fleet_settles_on_the_target(self) -> None:
+    def test_a_fleet_converges_on_the_target(self) -> None:
         for count in (2, 3, 10, 100):
             with self.subTest(nodes=count):
                 fleet = Fleet(count, seed=count)
                 fleet.run(5.0)
                 self.assertEqual(len(fleet.readers), TARGET_READERS)
 
-    def test_a_lone_node_reads(self) -> None:
+    def test_a_single_node_reads(self) -> None:
         fleet = Fleet(1, seed=1)
         fleet.run(LISTENING_SECONDS + LONGEST_HESITATION_SECONDS + 2 * STEP_SECONDS)
         self.assertEqual(len(fleet.readers), 1)
 
-    def test_readers_that_are_gone_are_replaced(self) -> None:
+    def test_lost_readers_are_replaced(self) -> None:
         fleet = Fleet(10, seed=3)
         fleet.run(5.0)
         for name in fleet.readers:
@@ -83,27 +83,27 @@
         fleet.run(5.0)
         self.assertEqual(len(fleet.readers), TARGET_READERS)
 
-    def test_readers_too_many_step_back(self) -> None:
+    def test_extra_readers_step_down(self) -> None:
         fleet = Fleet(10, seed=4)
         for duty in fleet.duties.values():
             duty.reading = True
         fleet.run(3.0)
         self.assertEqual(len(fleet.readers), TARGET_READERS)
 
-    def test_a_node_that_asked_only_once_is_no_reader(self) -> None:
-        """Found by the simulator: such nodes kept all others from reading."""
+    def test_a_node_that_called_the_store_once_is_no_reader(self) -> None:
+        """Such a node must not keep others from becoming readers."""
         duty = ReaderDuty("5", random.Random(1), reading_times())
         duty.note_answer(10.0)
         self.assertEqual(duty.recent(10.1), {})
 
-    def test_what_is_heard_late_does_not_set_a_reader_back(self) -> None:
+    def test_an_outdated_report_does_not_age_a_reader(self) -> None:
         duty = ReaderDuty("5", random.Random(1), reading_times())
         duty.note_reader("1", 10.0)
         duty.note_reader("1", 9.0)
         self.assertEqual(duty.recent(10.5), {"1": 10.0})
 
-    def test_a_node_that_starts_listens_before_it_reads(self) -> None:
-        """Found on a grown site: half of the nodes that started became readers for a moment."""
+    def test_a_starting_node_listens_before_it_reads(self) -> None:
+        """Starting nodes must not become readers briefly in a fleet that has readers."""
         fleet = Fleet(10, seed=5)
         fleet.run(5.0)
         starting = ReaderDuty("0000x", random.Random(2), reading_times())
@@ -112,8 +112,8 @@
             fleet.run(STEP_SECONDS)
             self.assertFalse(starting.advance(fleet.now))
 
-    def test_who_hears_no_peers_yet_leaves_reading_to_others_for_a_while(self) -> None:
-        """Found at 195 machines: all had listened before any of them could hear."""
+    def test_a_node_that_has_not_joined_waits_before_it_reads(self) -> None:
+        """The listening time must not pass before a node can receive digests."""
         duty = ReaderDuty("5", random.Random(3), reading_times())
         now = 1.0
         while now < 1.0 + LONGEST_JOIN_SECONDS:
@@ -125,7 +125,7 @@
         latest = LONGEST_JOIN_SECONDS + LISTENING_SECONDS + LONGEST_HESITATION_SECONDS
         self.assertLess(now, 1.0 + latest + 3 * STEP_SECONDS)
 
-    def test_who_gave_up_the_duty_does_not_count_itself_as_a_reader(self) -> None:
+    def test_a_former_reader_does_not_count_itself(self) -> None:
         times = reading_times()
         duty = ReaderDuty("5", random.Random(1), times)
         duty.reading = True
@@ -141,14 +141,14 @@
             duty.advance(now)
         self.assertLess(now, 1.0 + times.silence_seconds)
 
-    def test_only_a_reader_that_others_rely_on_is_news(self) -> None:
+    def test_note_reader_is_true_for_new_readers_with_lowest_ids(self) -> None:
         duty = ReaderDuty("5", random.Random(1), reading_times())
         news = [duty.note_reader(name, 1.0) for name in ("7", "7", "3", "9", "1")]
         self.assertEqual(news, [True, False, True, False, True])
 
 
 class RankTest(unittest.TestCase):
-    def test_machines_that_can_do_more_have_lower_ids(self) -> None:
+    def test_machines_with_more_capacity_have_lower_ids(self) -> None:
         large = reader_id_of(2.15, 200.0, "ffff")
         middle = reader_id_of(0.5, 100.0, "0000")
         slow_link = reader_id_of(2.15, 5.0, "0000")
@@ -158,8 +158,8 @@
         self.assertEqual(slow_link, slow_processor)
         self.assertEqual(len(reader_id_of(1e9, 1e9, "ffff")), len(slow_link))
 
-    def test_a_fleet_reads_by_those_that_can_do_more(self) -> None:
-        """Found on a grown site: a machine with a fourteenth of a core read for all."""
+    def test_machines_with_more_capacity_become_readers(self) -> None:
+        """The weakest machines must not become readers beside stronger ones."""
         fleet = Fleet(30, seed=6)
         chance = random.Random(7)
         names = [reader_id_of(0.07, 10.0, f"{number:04x}") for number in range(26)]
--- a/tests/unit/views/test_reading_turn.py
+++ b/tests/unit/views/test_reading_turn.py
@@ -1,4 +1,4 @@
-"""When a node asks the store for a kind of object, and what for."""
+"""When a node calls the store for a kind of object, and for which purpose."""
 
 import random
 import unittest
@@ -35,14 +35,14 @@
         self.watch.take_page(ListPage((NamedRecord("a", 1, "A"),), False, 10, "a"), asked_at=now)
         self.turn.note_answer(now, changes=False)
 
-    def test_after_a_stale_list_peers_may_tell_what_is_new(self) -> None:
+    def test_after_a_stale_list_it_waits_for_changes_from_peers(self) -> None:
         self.assertTrue(self.turn.must_ask(1.0))
         self.take_list(1.0)
         self.assertFalse(self.turn.must_ask(1.0 + self.times.unconfirmed_seconds - 0.01))
         latest = 1.0 + self.times.unconfirmed_seconds + STALE_SPREAD_SECONDS
         self.assertTrue(self.turn.must_ask(latest))
 
-    def test_after_an_empty_stale_list_peers_may_tell_what_there_is(self) -> None:
+    def test_after_an_empty_stale_list_it_waits_for_a_list_from_peers(self) -> None:
         self.watch.take_page(ListPage((), False, 3, ""), asked_at=1.0)
         self.turn.note_answer(1.0, changes=False)
         self.assertFalse(self.turn.must_ask(1.0))
@@ -50,13 +50,13 @@
         latest = 1.0 + self.times.unconfirmed_seconds + STALE_SPREAD_SECONDS
         self.assertTrue(self.turn.must_ask(latest))
 
-    def test_a_reader_asks_for_what_there_is_at_once(self) -> None:
+    def test_a_reader_lists_at_once(self) -> None:
         self.watch.take_page(ListPage((), False, 3, ""), asked_at=1.0)
         self.duty.reading = True
         self.assertTrue(self.turn.must_ask(1.0))
 
-    def test_where_no_reader_is_heard_of_a_view_is_stale_sooner(self) -> None:
-        """Found by comparing days: after a start of all nodes nobody heard of backends for 2 s."""
+    def test_without_a_known_reader_a_view_becomes_stale_sooner(self) -> None:
+        """After a start of all nodes, backends would be missing for the whole staleness."""
         self.take_list(1.0)
         self.watch.take_changes(ChangeBatch((), 12), now=2.0)
         self.turn.note_answer(2.0, changes=False)
@@ -69,8 +69,8 @@
         self.duty.note_reader("1", 2.5)
         self.assertFalse(self.turn.must_ask(2.0 + self.times.stale_seconds - 0.01))
 
-    def test_while_a_reader_may_yet_be_heard_of_nobody_else_asks(self) -> None:
-        """Found at 195 machines: after a start of all nodes each asked, and became a reader."""
+    def test_a_node_that_just_joined_does_not_ask_sooner(self) -> None:
+        """After a start of all nodes, each would ask and become a reader."""
         self.take_list(1.0)
         self.watch.take_changes(ChangeBatch((), 12), now=2.0)
         self.turn.note_answer(2.0, changes=False)
@@ -80,13 +80,13 @@
         self.assertFalse(self.turn.must_ask(2.0 + self.times.stale_seconds - 0.01))
         self.assertTrue(self.turn.must_ask(2.0 + self.times.stale_seconds + STALE_SPREAD_SECONDS))
 
-    def test_a_node_that_stood_still_asks_at_once(self) -> None:
+    def test_a_node_asks_at_once_after_a_stall(self) -> None:
         self.take_list(1.0)
         self.turn.distrust()
         self.assertTrue(self.turn.must_ask(1.01))
 
-    def test_a_new_reader_asks_without_waiting_so_that_others_hear_of_it(self) -> None:
-        """Found in inc-26d9: all nodes became readers while the first one's watch waited."""
+    def test_a_new_readers_first_watch_does_not_wait(self) -> None:
+        """All nodes would become readers while the first reader's watch waits."""
         self.duty.reading = True
         self.assertEqual(self.turn.wait_seconds, 0.0)
         self.duty.note_answer(2.0)
@@ -94,18 +94,18 @@
         self.duty.advance(2.1 + self.times.silence_seconds)
         self.assertEqual(self.turn.wait_seconds, 0.0)
 
-    def test_changes_are_gathered_within_the_time_that_a_watch_may_take(self) -> None:
+    def test_the_pause_after_changes_shortens_the_watch(self) -> None:
         self.duty.reading = True
         self.duty.note_answer(1.0)
         self.assertEqual(self.turn.wait_seconds, self.times.wait_seconds)
         self.watch.take_changes(ChangeBatch((ObjectChange("b", 12, "B"),), 12), now=2.0)
-        rest = self.turn.note_answer(2.0, changes=True)
-        self.assertGreater(rest, 0.1)
-        self.assertLessEqual(rest + self.turn.wait_seconds, self.times.wait_seconds)
+        pause = self.turn.note_answer(2.0, changes=True)
+        self.assertGreater(pause, 0.1)
+        self.assertLessEqual(pause + self.turn.wait_seconds, self.times.wait_seconds)
         self.assertEqual(self.turn.note_answer(3.0, changes=False), 0.0)
         self.assertEqual(self.turn.wait_seconds, self.times.wait_seconds)
 
-    def test_many_nodes_share_the_pace_of_calls_that_fail(self) -> None:
+    def test_pauses_between_failing_calls_grow_with_the_fleet(self) -> None:
         self.take_list(1.0)
         self.assertLess(self.turn.note_failure(2.0), LONGEST_PAUSE_SECONDS)
         self.duty.peer_count = 200
@@ -113,7 +113,7 @@
         self.assertGreaterEqual(min(pauses), self.times.outage_pause_seconds / 2)
         self.assertLessEqual(max(pauses), self.times.outage_pause_seconds)
 
-    def test_who_knows_nothing_or_is_relied_on_asks_again_soon(self) -> None:
+    def test_nodes_without_a_list_and_readers_retry_soon(self) -> None:
         self.duty.peer_count = 200
         self.assertLess(self.turn.note_failure(1.0), LONGEST_PAUSE_SECONDS)
         self.take_list(1.0)
@@ -133,7 +133,7 @@
         self.turn.note_failure(2.0)
         self.assertIs(self.turn.purpose, CallPurpose.RETRY)
 
-    def test_two_readers_share_the_kinds_and_a_lone_one_reads_all(self) -> None:
+    def test_two_readers_share_the_kinds_and_a_single_one_reads_all(self) -> None:
         self.duty.reading = True
         self.assertEqual([self.duty.reads(kind) for kind in (0, 1)], [True, True])
         self.duty.note_reader("7", 0.0)
@@ -143,7 +143,7 @@
         self.duty.advance(self.times.silence_seconds + 0.1)
         self.assertEqual([self.duty.reads(kind) for kind in (0, 1)], [True, True])
 
-    def test_a_reader_of_other_kinds_steps_in_before_the_view_is_stale(self) -> None:
+    def test_a_reader_of_other_kinds_asks_before_the_view_is_stale(self) -> None:
         self.take_list(1.0)
         self.watch.take_changes(ChangeBatch((), 12), now=2.0)
         self.turn.note_answer(2.0, changes=False)
