--- a/src/beamloom/replication/object_watch.py
+++ b/src/beamloom/replication/object_watch.py
@@ -121,14 +121,14 @@
     def __init__(
         self,
         view: StoreView[Record],
-        chance: random.Random,
+        rng: random.Random,
         *,
         stale_start: bool = False,
         may_be_empty: bool = False,
     ) -> None:
         self._may_be_empty = may_be_empty
         self.view = view
-        self._pauses = FullJitter(FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS, chance)
+        self._pauses = FullJitter(FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS, rng)
         self._listing: _Listing[Record] = _Listing()
         self._history_lost = False
         self._stale_allowed = stale_start
--- a/src/beamloom/replication/peer_selection.py
+++ b/src/beamloom/replication/peer_selection.py
@@ -11,9 +11,9 @@
 class PeerSelection:
     """The responsive members other than this node, and random selections of them."""
 
-    def __init__(self, node_id: NodeId, chance: random.Random) -> None:
+    def __init__(self, node_id: NodeId, rng: random.Random) -> None:
         self._node_id = node_id
-        self._chance = chance
+        self._rng = rng
         self._zones: dict[str, list[NodeId]] = {}
         self.all: list[NodeId] = []
         self.any_alive = False
@@ -30,12 +30,12 @@
 
     def some(self, count: int) -> list[NodeId]:
         """Return up to `count` different random peers."""
-        return self._chance.sample(self.all, min(count, len(self.all)))
+        return self._rng.sample(self.all, min(count, len(self.all)))
 
     def with_every_zone(self, chosen: Sequence[NodeId]) -> list[NodeId]:
         """Return the chosen peers and one of each zone that has none among them."""
         extended = list(chosen)
         for zone in sorted(self._zones):
             if not set(self._zones[zone]) & set(extended):
-                extended.append(self._chance.choice(self._zones[zone]))
+                extended.append(self._rng.choice(self._zones[zone]))
         return extended
--- a/src/beamloom/replication/peer_table.py
+++ b/src/beamloom/replication/peer_table.py
@@ -31,7 +31,7 @@
         self,
         host: str,
         seeds: Iterable[str],
-        chance: random.Random,
+        rng: random.Random,
         zone: str = "",
         capacity: Capacity = LEAST,
     ) -> None:
@@ -42,7 +42,7 @@
         self._ranks: dict[str, int] = {}
         self._capacities: dict[str, Capacity] = {}
         self._zones: dict[str, str] = {}
-        self._chance = chance
+        self._rng = rng
         self._last_seen: dict[str, float] = {}
         self.seeds: list[str] = []
         self.use_seeds(seeds)
@@ -98,7 +98,7 @@
         rank = self.rank_of(host)
         return self.capacity.weight if rank is None else weight_of_rank(rank)
 
-    def knows(self, host: str) -> bool:
+    def contains(self, host: str) -> bool:
         """Return whether a host was seen recently."""
         return host in self._last_seen
 
@@ -121,7 +121,7 @@
         self._zones = {host: zone for host, zone in self._zones.items() if host in self._last_seen}
         self._ranks = {host: rank for host, rank in self._ranks.items() if host in self._last_seen}
         self._capacities = {
-            host: told for host, told in self._capacities.items() if host in self._last_seen
+            host: capacity for host, capacity in self._capacities.items() if host in self._last_seen
         }
         self._update_relative_capacity()
 
@@ -139,10 +139,10 @@
             return hosts
         near = [host for host in hosts if self._zones.get(host) == self.zone]
         far = [host for host in hosts if self._zones.get(host) != self.zone]
-        from_near = int(count * OWN_ZONE_SHARE + self._chance.random())
+        from_near = int(count * OWN_ZONE_SHARE + self._rng.random())
         from_near = max(count - len(far), min(from_near, len(near)))
-        chosen = self._chance.sample(near, from_near)
-        return chosen + self._chance.sample(far, count - from_near)
+        chosen = self._rng.sample(near, from_near)
+        return chosen + self._rng.sample(far, count - from_near)
 
     def hosts(self) -> Iterable[str]:
         """Return all hosts seen recently."""
@@ -155,5 +155,5 @@
     def sample(self, now: float) -> list[tuple[str, float]]:
         """Return a few random hosts of any zone and the seconds since each was last seen."""
         hosts = sorted(self._last_seen)
-        drawn = self._chance.sample(hosts, min(SAMPLE_SIZE, len(hosts)))
+        drawn = self._rng.sample(hosts, min(SAMPLE_SIZE, len(hosts)))
         return [(host, now - self._last_seen[host]) for host in drawn]
--- a/src/beamloom/replication/pull_choice.py
+++ b/src/beamloom/replication/pull_choice.py
@@ -46,9 +46,9 @@
 class PullChoice:
     """The revisions of peers' views, the requests in progress, and the choice of peers."""
 
-    def __init__(self, peers: PeerTable, chance: random.Random) -> None:
+    def __init__(self, peers: PeerTable, rng: random.Random) -> None:
         self._peers = peers
-        self._chance = chance
+        self._rng = rng
         self._revisions: dict[int, dict[str, tuple[int, float]]] = {}
         self._avoided_until: dict[str, float] = {}
         self.pending: dict[int, PendingRequest] = {}
@@ -80,7 +80,7 @@
         With `among`, the hosts of a referral, only those that are known peers are drawn from,
         whatever their revision.
         """
-        named = [host for host in among if self._peers.knows(host)]
+        named = [host for host in among if self._peers.contains(host)]
         hosts = named if among else self._holders(view, revision, now)
         hosts = sorted(host for host in hosts if not self._is_avoided(host, now))
         return self._draw(self._without_weak(hosts)) if hosts else ""
@@ -149,7 +149,7 @@
 
     def _draw(self, hosts: list[str]) -> str:
         weights = [self._weight(host) for host in hosts]
-        return self._chance.choices(hosts, weights)[0]
+        return self._rng.choices(hosts, weights)[0]
 
     def _weight(self, host: str) -> float:
         near = OWN_ZONE_WEIGHT if self._peers.is_in_own_zone(host) else 1
--- a/src/beamloom/replication/reader_duty.py
+++ b/src/beamloom/replication/reader_duty.py
@@ -53,7 +53,7 @@
     def __init__(
         self,
         reader_id: str,
-        chance: random.Random,
+        rng: random.Random,
         times: ReadingTimes,
         mechanisms: Mechanisms = ALL_MECHANISMS,
     ) -> None:
@@ -63,7 +63,7 @@
         self.times = times
         self.reader_id = reader_id
         self._now = 0.0
-        self._chance = chance
+        self._rng = rng
         self._readers_seen: dict[str, float] = {}
         self._becomes_reader_at: float | None = None
         self._started_at: float | None = None
@@ -173,7 +173,7 @@
         """Draw the delay before becoming a reader; it is shorter for a better rank."""
         rank = int(self.reader_id[:RANK_DIGITS], 16) / LOWEST_RANK
         half = LONGEST_HESITATION_SECONDS / 2
-        return min(1.0, rank) * half + self._chance.uniform(0.0, half)
+        return min(1.0, rank) * half + self._rng.uniform(0.0, half)
 
     def advertised_readers(self, now: float) -> list[tuple[str, float]]:
         """Return the recent readers to put into digests: those with the lowest ids."""
--- a/src/beamloom/replication/reading_turn.py
+++ b/src/beamloom/replication/reading_turn.py
@@ -36,7 +36,7 @@
         self,
         watch: ObjectWatch[Any],
         duty: ReaderDuty,
-        chance: random.Random,
+        rng: random.Random,
         kind: int = 0,
         *,
         times: ReadingTimes | None = None,
@@ -48,7 +48,7 @@
         self._kind = kind
         self._duty = duty
         self._times = duty.times if times is None else times
-        self._chance = chance
+        self._rng = rng
         self._stale_after = self._times.stale_seconds
         self._stale_spread = 0.0
         self._begins_with_peers = begins_with_peers
@@ -105,7 +105,7 @@
         if not waits or self._watch.view.revision is not None:
             return False
         if self._lists_at is None:
-            spread = self._chance.uniform(0.0, STALE_SPREAD_SECONDS)
+            spread = self._rng.uniform(0.0, STALE_SPREAD_SECONDS)
             self._lists_at = now + self._times.unconfirmed_seconds + spread
         return now < self._lists_at
 
@@ -115,7 +115,7 @@
         The pause after changes lets a burst of them arrive in one answer. The time at which the
         view becomes stale is drawn again, so that not all nodes ask at once.
         """
-        self._stale_spread = self._chance.uniform(0.0, STALE_SPREAD_SECONDS)
+        self._stale_spread = self._rng.uniform(0.0, STALE_SPREAD_SECONDS)
         self._stale_after = self._times.stale_seconds + self._stale_spread
         self._unconfirmed_until = now + self._times.unconfirmed_seconds + self._stale_spread
         self._gather_seconds = self._times.gather_seconds if changes else 0.0
--- a/src/beamloom/replication/view_exchange.py
+++ b/src/beamloom/replication/view_exchange.py
@@ -68,7 +68,7 @@
         views: Sequence[SharedView[Any]],
         peers: PeerTable,
         duty: ReaderDuty,
-        chance: random.Random,
+        rng: random.Random,
         *,
         by_capacity: bool = True,
     ) -> None:
@@ -79,12 +79,12 @@
         self.stops = StopTurns(peers.host)
         self.views = views
         self._duty = duty
-        self._chance = chance
+        self._rng = rng
         self._by_capacity = by_capacity
         self._sheds_load = False
         self._sends: list[SendToHost] = []
         self.pulls = ViewPulls(
-            views, peers, chance, self._sends, self.counters, by_capacity=by_capacity
+            views, peers, rng, self._sends, self.counters, by_capacity=by_capacity
         )
         self.pulls.on_merged = self._announce_merge
         self.pulls.on_no_candidate = self._probe_peers
@@ -132,7 +132,7 @@
         is_small = len(self.peers) <= DISCOVERY_PEERS
         meeting = is_small and now - self._discovered_at < DISCOVERY_SECONDS
         period = DISCOVERY_HEARTBEAT_SECONDS if meeting else HEARTBEAT_SECONDS
-        self._next_heartbeat = now + period * self._chance.uniform(0.9, 1.1)
+        self._next_heartbeat = now + period * self._rng.uniform(0.9, 1.1)
         self.peers.remove_expired(now)
         self.pulls.choice.forget(now)
         hosts = self.peers.choose(1)
--- a/src/beamloom/replication/view_pulls.py
+++ b/src/beamloom/replication/view_pulls.py
@@ -50,13 +50,13 @@
         self,
         views: Sequence[SharedView[Any]],
         peers: PeerTable,
-        chance: random.Random,
+        rng: random.Random,
         sends: list[SendToHost],
         counters: Counter[str],
         *,
         by_capacity: bool,
     ) -> None:
-        self.choice = PullChoice(peers, chance)
+        self.choice = PullChoice(peers, rng)
         self.budget = AnswerBudget(peers.capacity)
         self.catch_up_seconds = LatencyHistogram()
         self.on_merged: Callable[[float], None] = lambda now: None
--- a/tests/measurements/exchange_bytes.py
+++ b/tests/measurements/exchange_bytes.py
@@ -60,7 +60,7 @@
         """Put a new process in place of each."""
         hosts = list(self.nodes)
         for number, host in enumerate(hosts):
-            self.nodes[host] = Node(host, hosts[:SEEDS], self.chance)
+            self.nodes[host] = Node(host, hosts[:SEEDS], self.rng)
             self.prepare(self.nodes[host], number)
 
     def flush(self, node: Node) -> None:
--- a/tests/unit/views/exchange_network.py
+++ b/tests/unit/views/exchange_network.py
@@ -23,7 +23,7 @@
 
 
 class Node:
-    def __init__(self, host: str, seeds: list[str], chance: random.Random) -> None:
+    def __init__(self, host: str, seeds: list[str], rng: random.Random) -> None:
         self.host = host
         self.view: StoreView[BackendRecord] = StoreView()
         self.configuration: StoreView[RoutingConfiguration] = StoreView()
@@ -38,10 +38,8 @@
                 late_seconds=LATE_SECONDS,
             ),
         )
-        peers = PeerTable(host, seeds, chance)
-        self.exchange = ViewExchange(
-            views, peers, ReaderDuty(host, chance, reading_times()), chance
-        )
+        peers = PeerTable(host, seeds, rng)
+        self.exchange = ViewExchange(views, peers, ReaderDuty(host, rng, reading_times()), rng)
 
     def take(self, changes: tuple[ObjectChange[BackendRecord], ...]) -> None:
         self.changed_names += [change.name for change in changes]
@@ -56,14 +54,14 @@
     """Nodes on a virtual clock; a datagram arrives after `delay` seconds or is lost."""
 
     def __init__(self, count: int, seed: int, loss: float = 0.0) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.loss = loss
         self.delay = DELAY_SECONDS
         self.now = 0.0
         self.sent = 0
         self.part_bytes = 0
         hosts = [f"10.0.{number // 250}.{number % 250 + 1}" for number in range(count)]
-        self.nodes = {host: Node(host, hosts[:3], self.chance) for host in hosts}
+        self.nodes = {host: Node(host, hosts[:3], self.rng) for host in hosts}
         self._in_transit: list[tuple[float, int, str, str, Message]] = []
         self.partitioned: set[str] = set()
         self.extra_delay: dict[str, float] = {}
@@ -74,7 +72,7 @@
             self.sent += 1
             if isinstance(send.message, ViewPart):
                 self.part_bytes += len(send.message.data)
-            if self.chance.random() < self.loss or {node.host, send.host} & self.partitioned:
+            if self.rng.random() < self.loss or {node.host, send.host} & self.partitioned:
                 continue
             due = self.now + self.delay + self.extra_delay.get(node.host, 0.0)
             heappush(self._in_transit, (due, self.sent, node.host, send.host, send.message))
--- a/tests/unit/views/test_reader_duty.py
+++ b/tests/unit/views/test_reader_duty.py
@@ -26,10 +26,10 @@
     """Nodes that learn of every live reader at each step."""
 
     def __init__(self, count: int, seed: int) -> None:
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         self.now = 0.0
         self.duties = {
-            f"{number:04x}": ReaderDuty(f"{number:04x}", chance, reading_times())
+            f"{number:04x}": ReaderDuty(f"{number:04x}", rng, reading_times())
             for number in range(count)
         }
 
@@ -161,10 +161,10 @@
     def test_machines_with_more_capacity_become_readers(self) -> None:
         """The weakest machines must not become readers beside stronger ones."""
         fleet = Fleet(30, seed=6)
-        chance = random.Random(7)
+        rng = random.Random(7)
         names = [reader_id_of(0.07, 10.0, f"{number:04x}") for number in range(26)]
         names += [reader_id_of(2.0, 200.0, f"{number:04x}") for number in range(4)]
-        fleet.duties = {name: ReaderDuty(name, chance, reading_times()) for name in names}
+        fleet.duties = {name: ReaderDuty(name, rng, reading_times()) for name in names}
         fleet.run(10.0)
         self.assertEqual({name[0] for name in fleet.readers}, {names[-1][0]})
         for name in fleet.readers:
--- a/tests/unit/views/test_reading_turn.py
+++ b/tests/unit/views/test_reading_turn.py
@@ -24,12 +24,12 @@
 
 class ReadingTurnTest(unittest.TestCase):
     def setUp(self) -> None:
-        chance = random.Random(1)
+        rng = random.Random(1)
         self.view: StoreView[str] = StoreView()
-        self.watch: ObjectWatch[str] = ObjectWatch(self.view, chance, stale_start=True)
+        self.watch: ObjectWatch[str] = ObjectWatch(self.view, rng, stale_start=True)
         self.times = reading_times()
-        self.duty = ReaderDuty("5", chance, self.times)
-        self.turn = ReadingTurn(self.watch, self.duty, chance)
+        self.duty = ReaderDuty("5", rng, self.times)
+        self.turn = ReadingTurn(self.watch, self.duty, rng)
 
     def take_list(self, now: float) -> None:
         self.watch.take_page(ListPage((NamedRecord("a", 1, "A"),), False, 10, "a"), asked_at=now)
