--- a/src/beamloom/replication/silence_reports.py
+++ b/src/beamloom/replication/silence_reports.py
@@ -20,7 +20,7 @@
 
 
 class SilenceReport(NamedTuple):
-    """A backend did not answer an opening of `reporter` at a time, or answered with an error."""
+    """At `at`, `backend` did not answer an opening of `reporter`, or answered with an error."""
 
     backend: str
     reporter: str
--- a/src/beamloom/replication/view_exchange.py
+++ b/src/beamloom/replication/view_exchange.py
@@ -158,7 +158,7 @@
         return False
 
     def announce(self, now: float) -> None:
-        """Send a digest to some peers at once; during discovery it may go to the seeds too.
+        """Send a digest to some peers; during discovery it may go to the seeds too.
 
         Nodes that have just started ask the seeds first.
         """
--- a/tests/unit/views/test_pull_choice.py
+++ b/tests/unit/views/test_pull_choice.py
@@ -19,14 +19,14 @@
 """A request's timeout and a few steps of the test's clock."""
 
 
-def known(count: int, able: int, capacity: Capacity = LEAST) -> PeerTable:
-    """Return a table with `count` peers, the first `able` of them large."""
+def peer_table(count: int, large: int, capacity: Capacity = LEAST) -> PeerTable:
+    """Return a table with `count` peers, the first `large` of them large."""
     peers = PeerTable("10.0.0.1", [], random.Random(1), "west", capacity)
     for number in range(count):
         host = f"10.0.1.{number}"
         peers.note(host, 1.0, 1.0)
         peers.note_zone(host, "west" if number % 2 == 0 else "east")
-        peers.note_capacity(host, LARGE if number < able else LEAST)
+        peers.note_capacity(host, LARGE if number < large else LEAST)
     peers.remove_expired(1.0)
     return peers
 
@@ -39,19 +39,19 @@
         return [int(pulls.choose(0, 7, 1.0).split(".")[3]) for _ in range(count)]
 
     def test_requests_are_spread_over_strong_peers_of_the_own_zone(self) -> None:
-        drawn = self.draws(known(40, able=8), 400)
+        drawn = self.draws(peer_table(40, large=8), 400)
         near = [drawn.count(number) / len(drawn) for number in range(0, 8, 2)]
         self.assertAlmostEqual(sum(near), 8 / 9, delta=0.06)
         self.assertLess(max(drawn), 8, "a peer of the least capacity was chosen beside larger ones")
         self.assertLess(max(near), 0.3)
 
     def test_requests_are_spread_evenly_over_equal_peers(self) -> None:
-        drawn = self.draws(known(10, able=0), 2000)
+        drawn = self.draws(peer_table(10, large=0), 2000)
         near = [drawn.count(number) / len(drawn) for number in range(0, 10, 2)]
         self.assertLess(max(near), 1.4 * min(near))
 
     def test_a_peer_that_did_not_answer_is_avoided_for_a_while(self) -> None:
-        pulls = PullChoice(known(2, able=1), random.Random(2))
+        pulls = PullChoice(peer_table(2, large=1), random.Random(2))
         pulls.note_revision(0, "10.0.1.0", 7, 1.0)
         self.assertEqual(pulls.choose(0, 7, 1.0), "10.0.1.0")
         pulls.pending[0] = PendingRequest("10.0.1.0", 0)
@@ -61,11 +61,11 @@
         self.assertEqual(pulls.choose(0, 7, 1.0 + UNANSWERED_AVOID_SECONDS), "10.0.1.0")
 
     def test_stronger_nodes_have_a_larger_fan_out(self) -> None:
-        self.assertEqual(known(40, able=0).fan_out(7), 7)
-        self.assertEqual(known(40, able=8).fan_out(7), 7)
-        self.assertEqual(known(40, able=8, capacity=LARGE).fan_out(7), MAXIMUM_FAN_OUT)
-        self.assertEqual(known(0, able=0).fan_out(7), 7)
-        self.assertEqual(known(40, able=8).fan_out(1), 1)
+        self.assertEqual(peer_table(40, large=0).fan_out(7), 7)
+        self.assertEqual(peer_table(40, large=8).fan_out(7), 7)
+        self.assertEqual(peer_table(40, large=8, capacity=LARGE).fan_out(7), MAXIMUM_FAN_OUT)
+        self.assertEqual(peer_table(0, large=0).fan_out(7), 7)
+        self.assertEqual(peer_table(40, large=8).fan_out(1), 1)
 
 
 class ReachTest(unittest.TestCase):
--- a/tests/unit/views/test_reader_duty.py
+++ b/tests/unit/views/test_reader_duty.py
@@ -143,8 +143,8 @@
 
     def test_note_reader_is_true_for_new_readers_with_lowest_ids(self) -> None:
         duty = ReaderDuty("5", random.Random(1), reading_times())
-        news = [duty.note_reader(name, 1.0) for name in ("7", "7", "3", "9", "1")]
-        self.assertEqual(news, [True, False, True, False, True])
+        results = [duty.note_reader(name, 1.0) for name in ("7", "7", "3", "9", "1")]
+        self.assertEqual(results, [True, False, True, False, True])
 
 
 class RankTest(unittest.TestCase):
