--- a/src/beamloom/replication/pull_choice.py
+++ b/src/beamloom/replication/pull_choice.py
@@ -19,8 +19,8 @@
 enough that a slow peer is not asked alternately with others.
 """
 BUSY_AVOID_SECONDS = 0.5
-"""How long a peer that sent a referral is avoided: the time in which its bucket fills
-(`answer_budget.BURST_SECONDS`).
+"""How long a peer that sent a referral is avoided: the time in which an empty bucket fills at the
+full rate (`answer_budget.BURST_SECONDS`).
 """
 OWN_ZONE_WEIGHT = 8
 """Multiplies the weight of peers in the own zone, as traffic between zones costs more."""
