--- a/src/beamloom/replication/peer_selection.py
+++ b/src/beamloom/replication/peer_selection.py
@@ -1,4 +1,4 @@
-"""Random choice of the peers that gossip goes to."""
+"""Random selection of the peers that gossip is sent to."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class PeerSelection:
-    """The members that answer, other than this node, and random picks of them."""
+    """The responsive members other than this node, and random selections of them."""
 
-    def __init__(self, node_id: NodeId, chance: random.Random) -> None:
+    def __init__(self, node_id: NodeId, rng: random.Random) -> None:
         self._node_id = node_id
-        self._chance = chance
+        self._rng = rng
         self._zones: dict[str, list[NodeId]] = {}
         self.all: list[NodeId] = []
         self.any_alive = False
 
     def update(self, members: Sequence[Member]) -> None:
-        """Learn who is a member."""
+        """Replace the members to select from."""
         others = [item for item in members if item.answers]
         others = [item for item in others if item.machine.node_id != self._node_id]
         self.all = [item.machine.node_id for item in others]
@@ -30,12 +30,12 @@
 
     def some(self, count: int) -> list[NodeId]:
         """Return up to `count` different random peers."""
-        return self._chance.sample(self.all, min(count, len(self.all)))
+        return self._rng.sample(self.all, min(count, len(self.all)))
 
     def with_every_zone(self, chosen: Sequence[NodeId]) -> list[NodeId]:
         """Return the chosen peers and one of each zone that has none among them."""
         extended = list(chosen)
         for zone in sorted(self._zones):
             if not set(self._zones[zone]) & set(extended):
-                extended.append(self._chance.choice(self._zones[zone]))
+                extended.append(self._rng.choice(self._zones[zone]))
         return extended
--- a/tests/measurements/exchange_bytes.py
+++ b/tests/measurements/exchange_bytes.py
@@ -60,7 +60,7 @@
         """Put a new process in place of each."""
         hosts = list(self.nodes)
         for number, host in enumerate(hosts):
-            self.nodes[host] = Node(host, hosts[:SEEDS], self.chance)
+            self.nodes[host] = Node(host, hosts[:SEEDS], self.rng)
             self.prepare(self.nodes[host], number)
 
     def flush(self, node: Node) -> None:
@@ -74,7 +74,7 @@
             kind = type(send.message).__name__
             self.bytes[int(begins), node.host, kind] += size
             due = self.free_at[node.host] + self.delay
-            heappush(self._flying, (due, self.sent, node.host, send.host, send.message))
+            heappush(self._in_transit, (due, self.sent, node.host, send.host, send.message))
 
 
 def report(name: str, network: CountingNetwork, since: float) -> None:
@@ -153,7 +153,7 @@
     network.run(WATCHED_SECONDS - EVENT_SECONDS)
     report("cold zone", network, since)
     since = network.now
-    listed = dict(readers[0].view._present)
+    listed = dict(readers[0].view._stored)
     revision = readers[0].view.revision or 0
     network.start_all()
     for node in network.nodes.values():
