--- a/src/beamloom/membership/__init__.py
+++ b/src/beamloom/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: probing, suspicion, and the list of members that each node holds."""
+"""Membership: failure detection by probes, suspicion, and each node's member list."""
 
 from beamloom.membership.core import MembershipCore
 from beamloom.membership.settings import MembershipSettings
--- a/src/beamloom/membership/dissemination.py
+++ b/src/beamloom/membership/dissemination.py
@@ -1,6 +1,7 @@
 """Gossip queue: each update is sent lambda * log(n) times, the least sent first (SWIM, 4.1).
 
-A token bucket bounds the bytes of updates, so that many deaths at once cost time and not budget.
+A token bucket limits the rate of update bytes: many simultaneous deaths take longer to gossip
+instead of exceeding the traffic budget.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 IPV6_BYTES = 17
 UPDATE_OVERHEAD_BYTES = 5
 LONG_QUEUE = 12
-"""Updates from which on suspicions wait behind all else."""
+"""Queue length above which suspicions are sent after all other updates."""
 
 
 @dataclass(slots=True)
@@ -48,7 +49,7 @@
 
 
 class UpdateQueue:
-    """Updates that are still to be passed on; a newer one of the same member replaces it."""
+    """Updates still to be gossiped, one for each member: a new one replaces the old."""
 
     def __init__(self, settings: MembershipSettings) -> None:
         self._multiplier = settings.transmission_multiplier
@@ -60,46 +61,46 @@
         self._queue: dict[NodeId, _QueuedUpdate] = {}
 
     def __len__(self) -> int:
-        """Return how many updates wait."""
+        """Return the number of queued updates."""
         return len(self._queue)
 
     @property
     def is_long(self) -> bool:
-        """Whether so many updates wait that each is worth less repetition."""
+        """Whether suspicions are sent last, and their confirmations are not gossiped."""
         return len(self._queue) > LONG_QUEUE
 
     @property
-    def fills_datagram(self) -> bool:
-        """Whether the rate allows a datagram of updates alone, full or with all that wait."""
-        waiting = sum(entry.size for entry in islice(self._queue.values(), LONG_QUEUE))
-        return waiting > 0 and self._tokens >= min(waiting, self._byte_limit)
+    def datagram_ready(self) -> bool:
+        """Whether the byte allowance covers a full datagram, or the first `LONG_QUEUE` updates."""
+        queued = sum(entry.size for entry in islice(self._queue.values(), LONG_QUEUE))
+        return queued > 0 and self._tokens >= min(queued, self._byte_limit)
 
     def refill(self, now: float) -> None:
-        """Let the byte allowance grow with time."""
+        """Add the byte allowance gained since the last call, up to the burst size."""
         if self._filled_at is not None:
             gained = (now - self._filled_at) * self._rate
             self._tokens = min(self._burst, self._tokens + gained)
         self._filled_at = now
 
     def add(self, update: MemberUpdate) -> None:
-        """Queue an update, with its transmissions still to come."""
+        """Queue an update with no transmissions counted yet."""
         self._queue[update.node_id] = _QueuedUpdate(update, update_size(update))
 
     def _rank(self, entry: _QueuedUpdate) -> tuple[bool, int]:
-        # A death must reach everybody; a suspicion matters to the suspect, who is told directly.
+        # Every node must learn of a death. Suspicions can wait: suspects are pinged directly.
         return (self.is_long and entry.update.state is MemberState.SUSPECT, entry.sent)
 
     def take(self, members: int) -> list[WireUpdate]:
-        """Return the updates for one datagram and count them as sent."""
+        """Return the updates for one datagram, in a fleet of `members`, and count them as sent."""
         if not self._queue:
             return []
         limit = max(1, math.ceil(self._multiplier * math.log10(members + 1)))
-        room = min(float(self._byte_limit), self._tokens)
+        remaining = min(float(self._byte_limit), self._tokens)
         chosen: list[WireUpdate] = []
         for entry in sorted(self._queue.values(), key=self._rank):
-            if entry.size > room or len(chosen) >= MAXIMUM_UPDATES // 2:
+            if entry.size > remaining or len(chosen) >= MAXIMUM_UPDATES // 2:
                 break
-            room -= entry.size
+            remaining -= entry.size
             self._tokens -= entry.size
             chosen.append(entry.update.encode())
             entry.sent += 1
--- a/src/beamloom/membership/life_cycle.py
+++ b/src/beamloom/membership/life_cycle.py
@@ -1,9 +1,7 @@
-"""The node's own life cycle as a member, run by `transitions`.
+"""State machine of the node's own membership state, built with the `transitions` library.
 
-Only the node's own life cycle is a machine of that library. What is believed of the other members
-is a plain `MemberState` ordered by (incarnation, state): it follows from what they say, in any
-order, and has no triggers or guards that a machine could check; 560 of them would cost memory in
-each node for nothing.
+Other members are not state machines: the highest (incarnation, state) received of a member is its
+state, in whatever order updates arrive, so there are no transitions to check.
 """
 
 from __future__ import annotations
@@ -20,7 +18,7 @@
 
 
 class LifeCycle:
-    """JOINING, ALIVE, LEAVING, LEFT; a trigger that does not apply changes nothing."""
+    """JOINING, ALIVE, LEAVING, LEFT; triggers that do not apply to the state are ignored."""
 
     def __init__(self) -> None:
         self.name = MemberState.JOINING.name
@@ -36,7 +34,7 @@
 
     @property
     def state(self) -> MemberState:
-        """The state that the node announces of itself."""
+        """The state that this node announces."""
         return MemberState[self.name]
 
     def fire(self, trigger: str) -> bool:
--- a/src/beamloom/membership/member_table.py
+++ b/src/beamloom/membership/member_table.py
@@ -1,7 +1,7 @@
 """The member list of one node: merging of updates, digests, and lists to draw peers from.
 
-Updates are ordered by (incarnation, state), so that nodes which have heard the same updates, in
-whatever order, hold the same list (SWIM, Das et al. 2002, section 4.2).
+Updates are ordered by (incarnation, state): nodes that received the same updates of a member, in
+any order, have it in the same state (SWIM, Das et al. 2002, section 4.2).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A member before (None: it was not known) and after an update."""
+    """A member before and after an update; `before` is None for a new member."""
 
     before: Member | None
     after: Member
@@ -50,7 +50,7 @@
 
     @property
     def peers(self) -> list[Member]:
-        """Other members that answer, in a fixed order."""
+        """Other members that are reachable, in the order of their ids."""
         if self._peers is None:
             others = (self.members[node_id] for node_id in self.sorted_ids)
             self._peers = [m for m in others if m.answers and m.machine.node_id != self.own_id]
@@ -58,7 +58,7 @@
 
     @property
     def dead(self) -> list[Member]:
-        """Members believed dead and still remembered, in a fixed order."""
+        """Members recorded as dead, in the order of their ids."""
         if self._dead is None:
             known = (self.members[node_id] for node_id in self.sorted_ids)
             self._dead = [member for member in known if member.state is MemberState.DEAD]
@@ -72,14 +72,17 @@
         return self._sorted_ids
 
     def supersedes(self, update: MemberUpdate) -> bool:
-        """Return whether the update is newer than what is known of its member."""
+        """Return whether the update is newer than the stored entry of its member.
+
+        An update of a member without an entry needs its machine, and a state below LEFT.
+        """
         known = self.members.get(update.node_id)
         if known is None:
             return update.machine is not None and update.state < MemberState.LEFT
         return (update.incarnation, update.state) > (known.incarnation, known.state)
 
     def apply(self, update: MemberUpdate, now: float) -> MemberChange | None:
-        """Take an update in if it is newer; return what it changed."""
+        """Apply an update if it is newer; return the change, or None."""
         if not self.supersedes(update):
             return None
         before = self.members.get(update.node_id)
@@ -89,7 +92,7 @@
         return self.put(Member(machine, update.state, update.incarnation), now)
 
     def put(self, member: Member, now: float) -> MemberChange:
-        """Store a member, whatever was known of it."""
+        """Store a member, replacing its entry whether or not it is newer."""
         node_id = member.machine.node_id
         before = self.members.get(node_id)
         if before is not None:
@@ -100,29 +103,29 @@
             self._gone_since.pop(node_id, None)
         else:
             self._gone_since[node_id] = now
-        self._changed(before is None)
+        self._invalidate_caches(before is None)
         return MemberChange(before, member)
 
-    def forget_gone(self, now: float, dead_retention: float, left_retention: float) -> None:
-        """Forget members that have been dead or gone for longer than their retention."""
+    def remove_expired(self, now: float, dead_retention: float, left_retention: float) -> None:
+        """Remove members that have been dead or left for longer than their retention."""
         for node_id, since in list(self._gone_since.items()):
             is_dead = self.members[node_id].state is MemberState.DEAD
             if now - since > (dead_retention if is_dead else left_retention):
                 del self.members[node_id]
                 del self._gone_since[node_id]
-                self._changed(True)
+                self._invalidate_caches(True)
 
     def update_of(self, node_id: NodeId, with_machine: bool = False) -> MemberUpdate:
-        """Return what this node says of a member that it knows."""
+        """Return an update with the entry of a known member."""
         member = self.members[node_id]
         machine: Machine | None = member.machine if with_machine else None
         return MemberUpdate(node_id, member.state, member.incarnation, None, machine)
 
     def ids_of_bucket(self, bucket: int) -> list[NodeId]:
-        """Return the ids of all members that fall into a digest bucket."""
+        """Return the ids of all members of a digest bucket."""
         return [node_id for node_id in self.sorted_ids if bucket_of(node_id) == bucket]
 
-    def _changed(self, ids_changed: bool) -> None:
+    def _invalidate_caches(self, ids_changed: bool) -> None:
         self._version += 1
         self._view = None
         self._peers = None
@@ -131,7 +134,7 @@
             self._sorted_ids = None
 
     def _toggle_digest(self, member: Member) -> None:
-        # Gone members are left out: nodes forget them at different times.
+        # Members that left or died are not included: nodes remove them at different times.
         if not member.answers:
             return
         node_id = member.machine.node_id
--- a/src/beamloom/membership/page_budget.py
+++ b/src/beamloom/membership/page_budget.py
@@ -1,4 +1,4 @@
-"""Pacing of pages: a token bucket of one page per interval, with a burst of two."""
+"""Rate limit for pages: a token bucket of one page per interval, with a burst of two."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class PageBudget:
-    """Says whether a page may be sent now; `interval` is in seconds per page."""
+    """Token bucket for pages; `interval` is in seconds per page."""
 
     def __init__(self, interval: float) -> None:
         self._interval = interval
@@ -14,7 +14,7 @@
         self._filled_at: float | None = None
 
     def take(self, now: float) -> bool:
-        """Spend one page if there is one to spend."""
+        """Take one token; return False if there is none."""
         if self._filled_at is not None:
             gained = (now - self._filled_at) / self._interval
             self._tokens = min(BURST, self._tokens + gained)
--- a/src/beamloom/membership/probe_ring.py
+++ b/src/beamloom/membership/probe_ring.py
@@ -1,4 +1,4 @@
-"""Which member to probe next: round robin in random order, own region first (SWIM, 4.3)."""
+"""Selection of probe targets: round robin in random order, mostly of the own region (SWIM, 4.3)."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class ProbeRing:
-    """Two rings, of the node's own region and of the others; each is walked in random order."""
+    """Two rings of members, of the own region and of all others, each in random order."""
 
-    def __init__(self, own_zone: Zone, settings: MembershipSettings, chance: random.Random) -> None:
+    def __init__(self, own_zone: Zone, settings: MembershipSettings, rng: random.Random) -> None:
         self._own_region = own_zone.region
         self._cross_share = settings.cross_region_share
-        self._random = chance
+        self._rng = rng
         self._peers: list[Member] = []
         self._known: set[NodeId] = set()
         self._near: list[NodeId] = []
@@ -26,28 +26,28 @@
     def next_target(
         self, table: MemberTable, needs_probe: Callable[[Member], bool]
     ) -> Member | None:
-        """Return the next member to probe that needs it; None where there is no other."""
+        """Return the next member for which `needs_probe` is true; None if there is none."""
         if table.peers is not self._peers:
-            self._take_newcomers(table)
+            self._add_new_peers(table)
         if not self._peers:
             return None
-        crossing = self._random.random() < self._cross_share
-        order = (False, True) if crossing else (True, False)
+        cross_region = self._rng.random() < self._cross_share
+        order = (False, True) if cross_region else (True, False)
         for near in order:
-            target = self._draw(table, near, needs_probe)
+            target = self._next_from_ring(table, near, needs_probe)
             if target is not None:
                 return target
         return None
 
-    def _take_newcomers(self, table: MemberTable) -> None:
+    def _add_new_peers(self, table: MemberTable) -> None:
         self._peers = table.peers
         for member in self._peers:
             if member.machine.node_id not in self._known:
                 ring = self._near if self._is_near(member) else self._far
-                ring.insert(self._random.randint(0, len(ring)), member.machine.node_id)
+                ring.insert(self._rng.randint(0, len(ring)), member.machine.node_id)
         self._known = {member.machine.node_id for member in self._peers}
 
-    def _draw(
+    def _next_from_ring(
         self, table: MemberTable, near: bool, needs_probe: Callable[[Member], bool]
     ) -> Member | None:
         ring = self._near if near else self._far
@@ -57,7 +57,7 @@
                 if member is not None and member.answers and needs_probe(member):
                     return member
             ring.extend(m.machine.node_id for m in self._peers if self._is_near(m) == near)
-            self._random.shuffle(ring)
+            self._rng.shuffle(ring)
         return None
 
     def _is_near(self, member: Member) -> bool:
--- a/src/beamloom/membership/settings.py
+++ b/src/beamloom/membership/settings.py
@@ -7,13 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Intervals, bounds and shares; the defaults are those measured at 560 nodes.
+    """Intervals, limits and shares.
 
-    `suspicion_multiplier` and `suspicion_maximum_factor` are alpha and beta of Lifeguard.
-    `hearsay_checkers` is how many nodes, on average, ask a member that others suspect.
-    From `crowd_of_suspects` on, suspects are not probed again. `transmission_multiplier` is lambda
-    of SWIM; `update_bytes_per_second` bounds all updates that a node passes on. `flap_window` and
-    `flap_threshold` say how often a member may come back before its suspicions are given more time.
+    `suspicion_multiplier` and `suspicion_maximum_factor` are alpha and beta of Lifeguard,
+    `transmission_multiplier` is lambda of SWIM. `suspect_checkers` is the average number of nodes
+    that ping a suspect before its suspicion expires. While more than `maximum_probed_suspects`
+    members are suspected, the regular probes skip suspects. `update_bytes_per_second` limits what
+    is sent from the gossip queue. A member that came back more than `flap_threshold` times within
+    `flap_window` gets longer suspicion timers, up to `flap_maximum_factor` times as long.
     """
 
     probe_interval: float = 0.4
@@ -26,9 +27,9 @@
     suspicion_multiplier: float = 3.0
     suspicion_maximum_factor: float = 4.0
     suspicion_confirmations: int = 3
-    hearsay_checkers: int = 40
+    suspect_checkers: int = 40
     recheck_interval: float = 0.2
-    crowd_of_suspects: int = 8
+    maximum_probed_suspects: int = 8
     health_maximum: int = 8
     pause_threshold: float = 0.4
     gossip_interval: float = 0.2
@@ -46,7 +47,7 @@
     digest_dead_share: float = 0.25
     dead_retention: float = 10_800.0
     left_retention: float = 600.0
-    farewell_peers: int = 6
+    leave_peers: int = 6
     flap_window: float = 300.0
     flap_threshold: int = 3
     flap_maximum_factor: float = 4.0
--- a/src/beamloom/membership/snapshot.py
+++ b/src/beamloom/membership/snapshot.py
@@ -1,4 +1,4 @@
-"""Counters and snapshot of the membership component, for status and explanations."""
+"""Counters and snapshot of the membership component, for metrics."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class MembershipCounters:
-    """What has happened since the start; each field only rises."""
+    """Event counts since the start of the node."""
 
     probes_sent: int = 0
     probes_failed: int = 0
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSnapshot:
-    """The component at one moment; `health_score` is 0 when this node trusts itself."""
+    """The state of the component; `health_score` is that of `LocalHealth`, 0 for healthy."""
 
     state: MemberState
     incarnation: int
--- a/src/beamloom/membership/synchronizer.py
+++ b/src/beamloom/membership/synchronizer.py
@@ -1,4 +1,4 @@
-"""Whole-list synchronization: join in pages, anti-entropy by digests, questions for addresses."""
+"""Synchronization of member lists: paged join, anti-entropy by digests, requests for entries."""
 
 from __future__ import annotations
 
@@ -30,25 +30,25 @@
 from beamloom.protocol.messages import Message
 
 NEVER = float("inf")
-MEMBERS_PER_QUESTION = 8
-QUESTION_INTERVAL = 0.5
-SPLIT_SHARE = 2
-"""From one dead member for so many live ones on, a split is likelier than crashes."""
+MEMBERS_PER_REQUEST = 8
+MEMBER_REQUEST_INTERVAL = 0.5
+SPLIT_LIVE_PER_DEAD = 2
+"""With one dead member for this many live ones, or more, a network split is assumed."""
 SPLIT_CONTACT_SECONDS = 0.25
-"""How often one node or another of this side asks a member that is believed dead."""
+"""Target interval, over all live nodes, between digests sent to dead members during a split."""
 SPLIT_DIGEST_FLOOR = 0.5
 JITTER = 0.25
 
 
 class Synchronizer:
-    """Brings this node's list up to date with others', and helps them to do the same."""
+    """Synchronizes this node's member list with other nodes, and answers their requests."""
 
     def __init__(
-        self, tracker: MemberTracker, seeds: Sequence[SocketAddress], chance: random.Random
+        self, tracker: MemberTracker, seeds: Sequence[SocketAddress], rng: random.Random
     ) -> None:
         self._tracker = tracker
         self._settings = tracker.settings
-        self._random = chance
+        self._rng = rng
         own_address = tracker.own_machine.control_address
         self._seeds = [seed for seed in seeds if seed != own_address]
         self._listed: list[Machine] = []
@@ -57,84 +57,84 @@
         self._retry = tracker.settings.join_retry
         self._next_join = NEVER
         self._next_digest = NEVER
-        self._next_question = 0.0
+        self._next_member_request = 0.0
         self.synchronized = not self._seeds
 
     def start(self, now: float) -> None:
-        """Begin to join, and the rounds of anti-entropy."""
+        """Start to join, and start the anti-entropy rounds."""
         self._next_join = NEVER if self.synchronized else now
         self._next_digest = now + self._digest_delay()
 
     def stop(self) -> None:
-        """Send nothing more of one's own accord."""
+        """Stop joining and the anti-entropy rounds."""
         self._next_join = NEVER
         self._next_digest = NEVER
 
     def poll(self, now: float) -> None:
-        """Ask for the next page, or compare digests, when due."""
+        """Request the next page, or run an anti-entropy round, when due."""
         if now >= self._next_join:
             self._join(now)
         if now >= self._next_digest:
             self._next_digest = now + self._digest_delay()
-            self._compare(now)
+            self._run_anti_entropy(now)
 
     def next_timer(self) -> float:
-        """Return when `poll` has something to do; infinity for never."""
+        """Return when `poll` is due next; infinity if it is not."""
         return min(self._next_join, self._next_digest)
 
-    def compare_soon(self, now: float) -> None:
-        """Go on at the next poll, with a comparison of digests, after a pause."""
+    def resume_after_pause(self, now: float) -> None:
+        """Run an anti-entropy round, and any overdue join request, at the next poll."""
         if self._next_digest < NEVER:
             self._next_digest = now
         if self._next_join < NEVER:
             self._next_join = max(self._next_join, now)
 
     def machines_listed(self, live: Sequence[Machine]) -> None:
-        """Note the platform's list, as addresses worth asking."""
+        """Record the machines of the platform's list, as addresses for join requests."""
         own_id = self._tracker.own_id
         self._listed = [machine for machine in live if machine.node_id != own_id]
 
-    def take_updates(
-        self, sender: NodeId, updates: Iterable[WireUpdate], now: float, old_news: bool = False
+    def merge_updates(
+        self, sender: NodeId, updates: Iterable[WireUpdate], now: float, from_page: bool = False
     ) -> None:
-        """Merge wire updates; malformed ones are counted, unknown members are asked about.
+        """Merge wire updates, count malformed ones, and request the entries of unknown members.
 
-        `old_news` says that members which are new to this node are not new to the fleet.
+        With `from_page`, members that are new to this node are not gossiped.
         """
         unknown: list[NodeId] = []
         for parts in updates:
             update = self._decode(parts)
             if update is None:
                 continue
-            if self._tracker.take_update(update, now, old_news) is UpdateOutcome.UNKNOWN:
+            if self._tracker.merge_update(update, now, from_page) is UpdateOutcome.UNKNOWN:
                 unknown.append(update.node_id)
         if unknown:
-            self.ask_about(sender, unknown, now)
+            self.request_members(sender, unknown, now)
 
-    def ask_about(self, peer: NodeId, node_ids: Sequence[NodeId], now: float) -> None:
-        """Ask a peer for full entries, at most one question in a while."""
+    def request_members(self, peer: NodeId, node_ids: Sequence[NodeId], now: float) -> None:
+        """Request full entries from a peer, once per `MEMBER_REQUEST_INTERVAL` at most."""
         self._tracker.counters.unknown_members += len(node_ids)
-        if now < self._next_question or peer not in self._tracker.table.members:
+        if now < self._next_member_request or peer not in self._tracker.table.members:
             return
-        self._next_question = now + QUESTION_INTERVAL
-        self._send(peer, MemberRequest(list(node_ids[:MEMBERS_PER_QUESTION])))
+        self._next_member_request = now + MEMBER_REQUEST_INTERVAL
+        self._send(peer, MemberRequest(list(node_ids[:MEMBERS_PER_REQUEST])))
 
     def answer_join(self, sender: NodeId, request: JoinRequest, now: float) -> bool:
-        """Take a newcomer in and send it the first page; False when it names another node."""
+        """Add a joining node and send it the first page; False if the update is not its own."""
         update = decode_update(request.update)
         if update.node_id != sender or update.machine is None:
             return False
-        self._tracker.take_update(update, now)
+        self._tracker.merge_update(update, now)
         self._send_page(update.machine.control_address, "", now)
         return True
 
     def answer_state_request(self, sender: NodeId, request: StateRequest, now: float) -> None:
-        """Send the page after the asker's cursor."""
+        """Send the page after the requested cursor."""
         self._send_page(sender, request.cursor, now)
 
-    def take_page(self, sender: NodeId, page: StatePage, now: float) -> None:
-        """Merge a page; when it is the one waited for, go on to the next."""
-        self.take_updates(sender, page.updates, now, old_news=True)
+    def handle_page(self, sender: NodeId, page: StatePage, now: float) -> None:
+        """Merge a page; if it has the requested cursor, schedule the request for the next."""
+        self.merge_updates(sender, page.updates, now, from_page=True)
         if self.synchronized or page.cursor != self._cursor:
             return
         self._cursor = page.next_cursor
@@ -143,41 +143,41 @@
         self._next_join = NEVER if self.synchronized else now + self._settings.page_interval
 
     def answer_digest(self, sender: NodeId, digest: StateDigest, now: float) -> None:
-        """Send the entries of buckets that differ, as far as the page budget allows."""
+        """Send the entries of buckets that differ, within the page budget."""
         own = self._tracker.table.buckets
         differing = [b for b in range(DIGEST_BUCKETS) if own[b] != digest.buckets[b]]
-        self._random.shuffle(differing)
+        self._rng.shuffle(differing)
         for bucket in differing:
             if not self._budget.take(now):
                 self._tracker.counters.pages_refused += 1
                 return
             self._send_bucket(sender, bucket)
 
-    def take_exchange(self, sender: NodeId, exchange: StateExchange, now: float) -> None:
-        """Merge a bucket; where a reply is wanted, send back what is newer here."""
-        self.take_updates(sender, exchange.updates, now)
+    def handle_exchange(self, sender: NodeId, exchange: StateExchange, now: float) -> None:
+        """Merge a bucket; if a reply is requested, send entries that it lacks or has older."""
+        self.merge_updates(sender, exchange.updates, now)
         if not exchange.wants_reply:
             return
-        theirs = {
+        received = {
             update.node_id: update for update in map(self._decode, exchange.updates) if update
         }
         newer: list[MemberUpdate] = []
         table = self._tracker.table
         for node_id in table.ids_of_bucket(exchange.bucket):
-            own = table.update_of(node_id, with_machine=node_id not in theirs)
-            other = theirs.get(node_id)
+            own = table.update_of(node_id, with_machine=node_id not in received)
+            other = received.get(node_id)
             rank = (own.incarnation, own.state)
-            worth_telling = table.members[node_id].answers
-            if worth_telling if other is None else rank > (other.incarnation, other.state):
+            is_reachable = table.members[node_id].answers
+            if is_reachable if other is None else rank > (other.incarnation, other.state):
                 newer.append(own)
         if newer:
             self._send(sender, StateExchange(exchange.bucket, False, self._fit(newer)))
 
-    def answer_question(self, sender: NodeId, request: MemberRequest) -> None:
-        """Send the full entries of the members that were asked about."""
+    def answer_member_request(self, sender: NodeId, request: MemberRequest) -> None:
+        """Send the full entries of the requested members."""
         members = self._tracker.table.members
-        asked = [NodeId(node_id) for node_id in request.node_ids if node_id in members]
-        entries = [self._tracker.table.update_of(node_id, with_machine=True) for node_id in asked]
+        known = [NodeId(node_id) for node_id in request.node_ids if node_id in members]
+        entries = [self._tracker.table.update_of(node_id, with_machine=True) for node_id in known]
         if entries:
             self._send(sender, Gossip(self._fit(entries)))
 
@@ -186,28 +186,28 @@
         self._retry = min(self._settings.join_retry_maximum, self._retry * 2)
         peers = self._tracker.table.peers
         if self._cursor and peers:
-            peer = self._random.choice(peers)
+            peer = self._rng.choice(peers)
             self._send(peer.machine.node_id, StateRequest(self._cursor))
             return
         addresses = [*self._seeds, *(machine.control_address for machine in self._listed)]
         if addresses:
-            self._introduce(self._random.choice(addresses))
+            self._send_join_request(self._rng.choice(addresses))
 
-    def _introduce(self, address: SocketAddress) -> None:
+    def _send_join_request(self, address: SocketAddress) -> None:
         own = self._tracker.table.update_of(self._tracker.own_id, with_machine=True)
         self._send(address, JoinRequest(own.encode()))
 
-    def _compare(self, now: float) -> None:
+    def _run_anti_entropy(self, now: float) -> None:
         table = self._tracker.table
         if not table.peers and (self._seeds or self._listed):
             self.synchronized = False
             self._cursor = ""
             self._next_join = min(self._next_join, now)
             return
-        stranger = self._listed_stranger()
-        if stranger is not None:
-            self._introduce(stranger.control_address)
-        dead_first = bool(table.dead) and self._random.random() < self._settings.digest_dead_share
+        unknown = self._unknown_listed_machine()
+        if unknown is not None:
+            self._send_join_request(unknown.control_address)
+        dead_first = bool(table.dead) and self._rng.random() < self._settings.digest_dead_share
         if self._looks_split():
             self._send_digest(table.dead)
             dead_first = False
@@ -215,14 +215,14 @@
 
     def _send_digest(self, candidates: Sequence[Member]) -> None:
         if candidates:
-            peer = self._random.choice(candidates)
+            peer = self._rng.choice(candidates)
             digest = StateDigest(tuple(self._tracker.table.buckets))
             self._send(peer.machine.node_id, digest)
 
-    def _listed_stranger(self) -> Machine | None:
+    def _unknown_listed_machine(self) -> Machine | None:
         known = self._tracker.table.members
-        strangers = [machine for machine in self._listed if machine.node_id not in known]
-        return self._random.choice(strangers) if strangers else None
+        unknown = [machine for machine in self._listed if machine.node_id not in known]
+        return self._rng.choice(unknown) if unknown else None
 
     def _send_page(self, destination: NodeId | SocketAddress, cursor: str, now: float) -> None:
         if not self._budget.take(now):
@@ -244,11 +244,11 @@
         self._send(peer, StateExchange(bucket, True, self._fit(entries)))
 
     def _fit(self, updates: Iterable[MemberUpdate]) -> list[WireUpdate]:
-        room = self._settings.page_bytes
+        remaining = self._settings.page_bytes
         fitting: list[WireUpdate] = []
         for update in updates:
-            room -= update_size(update)
-            if room < 0 or len(fitting) >= MAXIMUM_UPDATES:
+            remaining -= update_size(update)
+            if remaining < 0 or len(fitting) >= MAXIMUM_UPDATES:
                 break
             fitting.append(update.encode())
         return fitting
@@ -261,17 +261,17 @@
             return None
 
     def _digest_delay(self) -> float:
-        spread = self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
+        spread = self._rng.uniform(1.0 - JITTER, 1.0 + JITTER)
         interval = self._settings.digest_interval
         if self._looks_split():
-            wanted = (len(self._tracker.table.peers) + 1) * SPLIT_CONTACT_SECONDS
-            interval = min(interval, max(SPLIT_DIGEST_FLOOR, wanted))
+            split_interval = (len(self._tracker.table.peers) + 1) * SPLIT_CONTACT_SECONDS
+            interval = min(interval, max(SPLIT_DIGEST_FLOOR, split_interval))
         return interval * spread
 
     def _looks_split(self) -> bool:
-        """Whether so many members are dead that a cut network is likelier than crashes."""
+        """Whether so many members are dead that a network split is likelier than crashes."""
         table = self._tracker.table
-        return len(table.dead) * SPLIT_SHARE >= len(table.peers) + 1
+        return len(table.dead) * SPLIT_LIVE_PER_DEAD >= len(table.peers) + 1
 
     def _send(self, destination: NodeId | SocketAddress, message: Message) -> None:
         self._tracker.outbox.append(SendMessage(destination, message))
--- a/src/beamloom/membership/view.py
+++ b/src/beamloom/membership/view.py
@@ -1,4 +1,4 @@
-"""The member list as the rest of a node sees it."""
+"""The member list as other components of a node read it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class MembershipView:
     """One version of the member list, the node itself included.
 
-    `version` rises with each visible change at this node; versions of two nodes are unrelated.
+    `version` rises with each change at this node; versions of different nodes are unrelated.
     """
 
     version: int
@@ -27,5 +27,5 @@
         return (member for member in self.members.values() if member.answers)
 
     def member(self, node_id: NodeId) -> Member | None:
-        """Return the member of that id, or None where it is not known."""
+        """Return the member of that id, or None if it is not known."""
         return self.members.get(node_id)
--- a/tests/unit/test_suspicion.py
+++ b/tests/unit/test_suspicion.py
@@ -1,10 +1,10 @@
-"""Suspicion timers: confirmations shorten them, flaps, regions and ill health lengthen them."""
+"""Suspicion timers: shortened by confirmations, lengthened by flaps and a poor health score."""
 
 import unittest
 
 from beamloom.membership.settings import MembershipSettings
 from beamloom.membership.suspicion import (
-    SMALLEST_SCALE,
+    MINIMUM_SCALE,
     FlapHistory,
     Suspicion,
     suspicion_bounds,
@@ -20,7 +20,7 @@
 
 class SuspicionTest(unittest.TestCase):
     def test_independent_confirmations_shorten_the_timer_to_its_minimum(self) -> None:
-        suspicion = Suspicion(0, 100.0, 5.0, 20.0, needed=3, accusers={NodeId("a")})
+        suspicion = Suspicion(0, 100.0, 5.0, 20.0, confirmations_needed=3, accusers={NodeId("a")})
         deadlines = [suspicion.deadline(1)]
         self.assertFalse(suspicion.confirm(NodeId("a")))
         for accuser in ("b", "c", "d"):
@@ -31,8 +31,8 @@
         self.assertEqual(deadlines, sorted(deadlines, reverse=True))
         self.assertFalse(suspicion.confirm(NodeId("e")))
 
-    def test_a_node_in_doubt_of_itself_waits_longer(self) -> None:
-        suspicion = Suspicion(0, 100.0, 5.0, 20.0, needed=3, accusers={NodeId("a")})
+    def test_the_health_factor_lengthens_the_timer(self) -> None:
+        suspicion = Suspicion(0, 100.0, 5.0, 20.0, confirmations_needed=3, accusers={NodeId("a")})
         self.assertEqual(suspicion.deadline(3), 160.0)
 
     def test_bounds_grow_with_the_logarithm_of_the_fleet(self) -> None:
@@ -41,28 +41,28 @@
         self.assertAlmostEqual(large, 3 * small)
         self.assertAlmostEqual(longest, large * SETTINGS.suspicion_maximum_factor)
 
-    def test_a_small_fleet_bears_a_pause_too(self) -> None:
+    def test_small_fleets_use_the_minimum_scale(self) -> None:
         for members in (1, 3, 10):
             shortest, _ = suspicion_bounds(SETTINGS, members, 1.0)
             self.assertAlmostEqual(
                 shortest,
-                SMALLEST_SCALE * SETTINGS.suspicion_multiplier * SETTINGS.probe_interval,
+                MINIMUM_SCALE * SETTINGS.suspicion_multiplier * SETTINGS.probe_interval,
             )
 
-    def test_helpers_without_an_answer_confirm_where_the_probe_failed(self) -> None:
+    def test_helpers_without_an_answer_count_as_confirmations(self) -> None:
         tracker = MemberTracker(machine(0), SETTINGS, [])
         for number in range(1, 20):
             item = machine(number)
-            tracker.take_update(
+            tracker.merge_update(
                 MemberUpdate(item.node_id, MemberState.ALIVE, 0, None, item), now=0.0
             )
         helpers = [machine(number).node_id for number in (5, 6, 7)]
-        alone, seen = machine(1).node_id, machine(2).node_id
-        tracker.suspect(alone, 10.0)
-        tracker.suspect(seen, 10.0, helpers)
+        unconfirmed, confirmed = machine(1).node_id, machine(2).node_id
+        tracker.suspect(unconfirmed, 10.0)
+        tracker.suspect(confirmed, 10.0, helpers)
         shortest, longest = suspicion_bounds(SETTINGS, 20, 1.0)
-        self.assertAlmostEqual(tracker.suspicions[alone].deadline(1), 10.0 + longest)
-        self.assertAlmostEqual(tracker.suspicions[seen].deadline(1), 10.0 + shortest)
+        self.assertAlmostEqual(tracker.suspicions[unconfirmed].deadline(1), 10.0 + longest)
+        self.assertAlmostEqual(tracker.suspicions[confirmed].deadline(1), 10.0 + shortest)
 
 
 class FlapHistoryTest(unittest.TestCase):
--- a/tests/unit/test_update_queue.py
+++ b/tests/unit/test_update_queue.py
@@ -50,14 +50,14 @@
     def test_a_queue_without_allowance_fills_no_datagram(self) -> None:
         queue = UpdateQueue(SETTINGS)
         queue.refill(0.0)
-        self.assertFalse(queue.fills_datagram)
+        self.assertFalse(queue.datagram_ready)
         for number in range(200):
             queue.add(update(number, MemberState.DEAD))
         while queue.take(MEMBERS):
             self.assertTrue(len(queue))
-        self.assertFalse(queue.fills_datagram)
+        self.assertFalse(queue.datagram_ready)
         queue.refill(10.0)
-        self.assertTrue(queue.fills_datagram)
+        self.assertTrue(queue.datagram_ready)
 
 
 if __name__ == "__main__":
