--- a/src/beamloom/protocol/__init__.py
+++ b/src/beamloom/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Typed events, commands and node-to-node messages, with their codec and authentication."""
+"""Events, commands and node-to-node messages, with codec, authentication and replay protection."""
--- a/src/beamloom/protocol/backend_messages.py
+++ b/src/beamloom/protocol/backend_messages.py
@@ -1,7 +1,8 @@
-"""Messages about the operating status of backends: between their watchers, and to every node.
+"""Messages of backend operating status: between the watchers of a backend, and among all nodes.
 
-A status record travels as two integers, `backend_number` and `value`; what `value` holds is said
-in `replication/backend_status/register.py`. A field of the wrong type raises ValueError.
+A status record is sent as two integers, `backend_number` and `value`; see
+`replication/backend_status/register.py` for the layout of `value`. A field of the wrong type raises
+ValueError.
 """
 
 from __future__ import annotations
@@ -31,10 +32,11 @@
 @register_message(64, Priority.STATUS)
 @dataclass(frozen=True, slots=True)
 class StatusExceptions(Message):
-    """The sender's records of backends that are offline or shedding, as `StatusBatch` has them.
+    """The sender's records of backends that are offline or shedding, encoded as in `StatusBatch`.
 
-    Where they do not all fit, they are a random part, and `complete` is False. The receiver takes
-    what is newer; when `wants_reply`, it sends back what it knows better.
+    If not all of them fit, a random sample is sent and `complete` is False. The receiver merges
+    newer records and sends back those that it has newer. With `wants_reply` and `complete` it adds
+    its own records of such backends that the message lacks.
     """
 
     records: list[int]
@@ -48,7 +50,10 @@
 @register_message(65, Priority.STATUS)
 @dataclass(frozen=True, slots=True)
 class WatcherOpinion(Message):
-    """What one watcher of a backend observes of it; `wants_answer` asks for the other's opinion."""
+    """A backend's status as one of its two watchers observes it.
+
+    `wants_answer` requests the status that the other watcher observes.
+    """
 
     backend_number: int
     status: int
@@ -62,11 +67,11 @@
 @register_message(66, Priority.STATUS)
 @dataclass(frozen=True, slots=True)
 class StatusDigest(Message):
-    """Digests of the sender's records; a receiver whose own differ answers.
+    """Digests of the sender's records; a receiver with other digests answers.
 
-    `exceptions` covers the backends that are offline or shedding; a receiver that differs sends its
-    `StatusExceptions`. `root` covers all records, None when it is not to be compared this time; a
-    receiver that differs sends its `StatusBuckets`.
+    `exceptions` covers the backends that are offline or shedding; the answer is `StatusExceptions`.
+    `root` covers all records, or is None if only the exceptions are compared; the answer is
+    `StatusBuckets`.
     """
 
     exceptions: int
@@ -96,7 +101,8 @@
 class StatusBatch(Message):
     """Records as a flat list `[number, value, number, value, ...]`.
 
-    `fresh` records are news that a receiver passes on once; others answer a `StatusPull`.
+    `fresh` records are pushed, and a receiver to which they are new pushes them on. Others answer a
+    `StatusPull`.
     """
 
     records: list[int]
@@ -109,7 +115,7 @@
 @register_message(69, Priority.STATUS)
 @dataclass(frozen=True, slots=True)
 class StatusPull(Message):
-    """Asks for every record of these buckets."""
+    """Requests the records of these buckets; the receiver limits how many it sends."""
 
     buckets: list[int]
 
--- a/src/beamloom/protocol/codec.py
+++ b/src/beamloom/protocol/codec.py
@@ -1,4 +1,4 @@
-"""Datagram codec: one authenticated CBOR envelope that carries one or more messages.
+"""Datagram codec: an authenticated CBOR envelope with any number of messages.
 
 Envelope: `[version, sender, sequence, sent_milliseconds, [message, ...]]` followed by a 16-byte
 keyed BLAKE2 tag (RFC 7693) over everything before it.
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A decoded datagram: who sent it, its sequence number and the messages it carries."""
+    """A decoded datagram; `unknown_messages` counts skipped messages of unknown kinds."""
 
     sender: NodeId
     sequence: int
@@ -51,9 +51,9 @@
         return _tag(self.keys[0], body)
 
     def verify(self, body: bytes, tag: bytes) -> None:
-        """Raise AuthenticationError unless one of the keys made `tag`."""
+        """Raise AuthenticationError unless `tag` matches one of the keys."""
         if not any(hmac.compare_digest(_tag(key, body), tag) for key in self.keys):
-            raise AuthenticationError("no configured key made this tag; check the key files")
+            raise AuthenticationError("the tag matches no configured key; check the key files")
 
 
 def _tag(key: bytes, body: bytes) -> bytes:
@@ -98,7 +98,7 @@
 
 
 def decode_datagram(keys: KeyRing, datagram: bytes) -> Envelope:
-    """Verify and decode one datagram; raises ProtocolError with the reason to count."""
+    """Verify and decode one datagram; raises ProtocolError, whose `reason` labels the counter."""
     if len(datagram) > MAXIMUM_DATAGRAM_SIZE:
         raise OversizedDatagramError(f"{len(datagram)} bytes; the sender must split it")
     if len(datagram) <= TAG_SIZE:
--- a/src/beamloom/protocol/commands.py
+++ b/src/beamloom/protocol/commands.py
@@ -1,4 +1,4 @@
-"""Commands: everything that the decision core asks of its adapter."""
+"""Commands: the actions that the decision core requests from its adapter."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LocalSocket(Enum):
-    """Which of the node's sockets a datagram leaves from."""
+    """The node's sockets that datagrams are sent from."""
 
     DATA = "data"
     PEER = "peer"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendControl(Command):
-    """Send an encoded control datagram; it has been charged to the budget already."""
+    """Send an encoded control datagram, which is already charged to the control budget."""
 
     destination: SocketAddress
     data: bytes
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage(Command):
-    """Inside the core only: a component asks for a message to be sent, budget permitting.
+    """Send a message within the control budget; used inside the core only.
 
-    `destination` is a member, or a control address for a node that is not a member yet.
+    `destination` is a member, or a control address of a node that is not a member yet.
     """
 
     destination: NodeId | SocketAddress
@@ -86,7 +86,8 @@
 class WriteObject(Command):
     """Write one object if its revision is still `expected_revision` (0: it must not exist).
 
-    Answered by `StoreWritten`, `StoreConflict` or `StoreFailed` (which may mean: it took effect).
+    Answered by `StoreWritten`, `StoreConflict` or `StoreFailed`. After `StoreFailed` the write may
+    have taken effect.
     """
 
     request_id: int
@@ -97,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckBackend(Command):
-    """Ask a backend's health endpoint; answered by `BackendChecked`."""
+    """Request a backend's health endpoint; answered by `BackendChecked`."""
 
     backend_number: int
     health_address: SocketAddress
@@ -105,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordTransition(Command):
-    """Write one log line for a change of state and keep it for explanations."""
+    """Log a state transition."""
 
     subject: str
     before: str
@@ -115,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopNode(Command):
-    """The planned stop is complete; the process may end."""
+    """The planned stop is over and the process may end; `complete` is False if it was cut short."""
 
     complete: bool
     reason: str
--- a/src/beamloom/protocol/configuration_messages.py
+++ b/src/beamloom/protocol/configuration_messages.py
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicatedChange:
-    """One step of the replicated order, from `previous_revision` to `revision`.
+    """One step of the configuration, from `previous_revision` to `revision`.
 
-    A step from a watch has one object. A step from a listing (`from_listing`) has every difference
-    and applies to the state at exactly `previous_revision`.
+    A step from a watch has one object. A step from a listing (`from_listing`) has all differences
+    between the two revisions, and applies only to the state at exactly `previous_revision`.
     """
 
     previous_revision: int
@@ -71,7 +71,7 @@
 @register_message(20, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class ChangesPushed(Message):
-    """Changes in order, each as `change_to_list` gives it, and the sender's applied revision."""
+    """Changes in order, each encoded by `change_to_list`, and the sender's applied revision."""
 
     changes: list[list[object]]
     applied_revision: int
@@ -85,9 +85,10 @@
 @register_message(21, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class DigestOffered(Message):
-    """What the sender has: its revision, whether it is ready, and the reader leases it knows.
+    """The sender's applied revision, whether it is ready, and the reader leases it knows.
 
     `leases` holds `[lease number, holder, store revision]`; the highest revision is the newest.
+    `wants_answer` requests the receiver's own digest.
     """
 
     applied_revision: int
@@ -109,7 +110,7 @@
 @register_message(22, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class ChangesRequested(Message):
-    """Asks for the changes after a revision; answered by the two messages around this one."""
+    """Requests the changes after a revision; answer: `ChangesPushed` or `ChangesUnavailable`."""
 
     after_revision: int
 
@@ -121,7 +122,7 @@
 @register_message(23, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class ChangesUnavailable(Message):
-    """The log does not reach back so far, or the change is too long: fetch a snapshot."""
+    """The requested changes are no longer logged, or too long to send: fetch a snapshot instead."""
 
     applied_revision: int
 
@@ -133,7 +134,7 @@
 @register_message(24, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class SnapshotRequested(Message):
-    """Asks which snapshot a peer can send: the one named, or with no digest a newer one."""
+    """Requests an offer of the snapshot with this digest or, if `digest` is empty, a newer one."""
 
     revision: int
     digest: bytes
@@ -169,7 +170,7 @@
 @register_message(26, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class SnapshotPartsRequested(Message):
-    """Asks for some parts of one snapshot."""
+    """Requests some parts of one snapshot."""
 
     revision: int
     digest: bytes
--- a/src/beamloom/protocol/errors.py
+++ b/src/beamloom/protocol/errors.py
@@ -1,10 +1,10 @@
-"""Typed errors of the node-to-node protocol; each names its remedy."""
+"""Errors of the node-to-node protocol."""
 
 from __future__ import annotations
 
 
 class ProtocolError(Exception):
-    """A datagram that is not taken; `reason` is the counter label."""
+    """A datagram is rejected; `reason` is the counter label."""
 
     reason: str = "protocol"
 
@@ -34,6 +34,6 @@
 
 
 class UnknownMessageError(ProtocolError):
-    """The message kind or envelope version is newer than this node; it is ignored."""
+    """The message kind or envelope version is unknown, as of a newer node; it is ignored."""
 
     reason = "unknown_kind"
--- a/src/beamloom/protocol/events.py
+++ b/src/beamloom/protocol/events.py
@@ -1,4 +1,4 @@
-"""Events: everything that the adapters tell the decision core. Each arrives with a time `now`."""
+"""Events: the inputs that the adapters pass to the decision core, each with a time `now`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlDatagramReceived(Event):
-    """Bytes arrived on the control socket."""
+    """A datagram arrived on the control socket."""
 
     data: bytes
     source: SocketAddress
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired(Event):
-    """The time that `NodeCore.next_timer` named has come."""
+    """The time that `NodeCore.next_timer` returned is reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopRequested(Event):
-    """A planned stop: hand over, finish, then answer with `StopNode`."""
+    """A planned stop is requested: the core hands over its partitions, then sends `StopNode`."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     """One object of the platform's store; `value` is None once deleted.
 
     `revision` is the store-wide revision of the object's last change. `created_revision` is the
-    one at which it was created: its number for ever.
+    one at which it was created, and serves as its permanent number.
     """
 
     key: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChanged(StoreAnswer):
-    """The watch delivered changes, in store order; `revision` is the store's newest known."""
+    """The watch delivered changes, in store order; `revision` is the newest known of the store."""
 
     revision: int
     changes: tuple[StoredObject, ...]
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreObjectRead(StoreAnswer):
-    """The answer to `ReadObject`; `found` is None where there is no such object."""
+    """The answer to `ReadObject`; `found` is None if the object does not exist."""
 
     found: StoredObject | None
 
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreFailed(StoreAnswer):
-    """A store request failed or its answer was lost; `gone` says the watch must start anew."""
+    """A store request failed or its answer was lost; if `gone`, the store must be listed again."""
 
     reason: str
     gone: bool = False
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachinesListed(Event):
-    """The platform's lagging list of live machines and of leaving ones: a hint, no more."""
+    """The platform's lists of live and of leaving machines, which may be outdated."""
 
     live: tuple[Machine, ...]
     leaving: tuple[Machine, ...]
@@ -111,7 +111,7 @@
     """The answer to `CheckBackend`.
 
     `load` is the reported share of the backend's slots in use (0 to 1, or more when it queues),
-    `answer_seconds` the observed time of the check; `shedding` is what the backend says.
+    `answer_seconds` the observed time of the check; `shedding` is as the backend reports it.
     """
 
     backend_number: int
--- a/src/beamloom/protocol/flow_messages.py
+++ b/src/beamloom/protocol/flow_messages.py
@@ -1,7 +1,7 @@
-"""Messages about flows: answers for caching, replicas, transfers of partitions, bindings.
+"""Messages about flows: cached answers, replicas, transfers of partitions, bindings.
 
 Flow records are packed as 12 bytes each: the 8-byte flow key and the 4-byte backend number, or
-`ENDED` where the flow is over. Partition sets are packed by `protocol/partition_sets.py`.
+`ENDED` if the flow has ended. Partition sets are packed by `protocol/partition_sets.py`.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowRecord:
-    """Where one flow goes."""
+    """The backend of one flow."""
 
     key: int
     backend_number: int
 
 
 class PartitionMark(IntEnum):
-    """What a batch says of whole partitions, each with its base revision.
+    """State of a whole partition, sent in a batch with the partition's base revision.
 
-    BEGIN: all records of the partition follow. COMPLETE: they have been sent; what was not among
-    them has ended. HANDOVER: the receiver owns the partition from here on. PUSHED: the sender held
-    replicas of a home that died, and these were all.
+    BEGIN: all records of the partition follow. COMPLETE: all were sent; flows without a record have
+    ended. HANDOVER: the receiver owns the partition from now on. PUSHED: the sender held replicas
+    of a home that died and has sent all of them.
     """
 
     BEGIN = 0
@@ -43,9 +43,10 @@
 
 
 class OwnershipStatus(IntEnum):
-    """How a node stands to a partition that another asks for.
+    """Ownership of a requested partition, as the answering node knows it.
 
-    NOBODY: no living node owns it, says one that would know. NEWCOMER: this node cannot tell.
+    OWNER: it owns the partition itself. ELSEWHERE: another reachable node may own it. NOBODY: no
+    reachable node is known to own it. NEWCOMER: it joined too recently to know.
     """
 
     OWNER = 0
@@ -60,7 +61,7 @@
 
 
 def unpack_records(packed: bytes) -> list[FlowRecord]:
-    """Read packed records; raises MalformedDatagramError when the length is odd."""
+    """Read packed records; raises MalformedDatagramError unless they are 12 bytes each."""
     if not isinstance(packed, bytes) or len(packed) % RECORD.size:
         raise MalformedDatagramError("flow records are not a multiple of 12 bytes")
     return [FlowRecord(key, number) for key, number in RECORD.iter_unpack(packed)]
@@ -76,14 +77,14 @@
 @register_message(40, Priority.CACHE)
 @dataclass(frozen=True, slots=True)
 class CacheAnswers(Message):
-    """The home tells a relaying node where flows go; a lease, see routing/flow_table.py."""
+    """Backends of flows, leased by their home to a relaying node; see routing/flow_table.py."""
 
     packed_records: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SynchronizationBatch(Message):
-    """One numbered batch of a stream; taken in this order: openings, records, closings.
+    """One numbered batch of a stream, applied in this order: openings, records, closings.
 
     `openings` and `closings` are lists of `[mark, base revision, packed partitions]`.
     """
@@ -97,19 +98,19 @@
 @register_message(41, Priority.REPLICA)
 @dataclass(frozen=True, slots=True)
 class ReplicaRecords(SynchronizationBatch):
-    """A home tells a replica holder of exceptions and bases."""
+    """Exceptions and base revisions, sent by a home to a replica holder."""
 
 
 @register_message(42, Priority.TRANSFER)
 @dataclass(frozen=True, slots=True)
 class TransferRecords(SynchronizationBatch):
-    """An owner hands partitions over, or a replica holder pushes what it has of a dead home."""
+    """Partitions handed over by their owner, or replicas of a dead home pushed by their holder."""
 
 
 @register_message(43, Priority.REPLICA)
 @dataclass(frozen=True, slots=True)
 class ReplicaAcknowledged(Message):
-    """The replica holder has taken the batch `number`."""
+    """The replica holder has received the batch `number`."""
 
     number: int
 
@@ -117,7 +118,7 @@
 @register_message(44, Priority.TRANSFER)
 @dataclass(frozen=True, slots=True)
 class TransferAcknowledged(Message):
-    """The receiver has taken the batch `number`, or never will (`accepted` false: it leaves)."""
+    """The batch `number` is received, or refused as the receiver is leaving (`accepted` False)."""
 
     number: int
     accepted: bool
@@ -126,7 +127,7 @@
 @register_message(45, Priority.TRANSFER)
 @dataclass(frozen=True, slots=True)
 class TransferRequest(Message):
-    """The sender believes that it is home of these partitions and that the receiver owns them."""
+    """Requests the transfer of partitions: the sender is their home, the receiver may own them."""
 
     packed_partitions: bytes
 
@@ -134,7 +135,7 @@
 @register_message(46, Priority.TRANSFER)
 @dataclass(frozen=True, slots=True)
 class TransferAnswer(Message):
-    """Answer to `TransferRequest`: `status` is an OwnershipStatus; `owner` is set for ELSEWHERE."""
+    """Answers a `TransferRequest`: `status` is an OwnershipStatus; `owner` is set for ELSEWHERE."""
 
     status: int
     packed_partitions: bytes
@@ -144,7 +145,7 @@
 @register_message(47, Priority.TRANSFER)
 @dataclass(frozen=True, slots=True)
 class BindFlow(Message):
-    """The home binds a flow whose request may not be repeated before its first packet leaves."""
+    """Binds a flow with a non-repeatable request to a backend, before its first packet is sent."""
 
     key: int
     backend_number: int
@@ -153,7 +154,7 @@
 @register_message(48, Priority.TRANSFER)
 @dataclass(frozen=True, slots=True)
 class BindAcknowledged(Message):
-    """The replica holder has noted the binding."""
+    """The replica holder has stored the binding."""
 
     key: int
     backend_number: int
--- a/src/beamloom/protocol/membership_messages.py
+++ b/src/beamloom/protocol/membership_messages.py
@@ -1,7 +1,7 @@
 """Membership messages, kinds 1 to 19: probes, gossip, join and anti-entropy.
 
-Member updates travel as short CBOR arrays `[node, state, incarnation, accuser, machine]`, of which
-the last two are left off when empty. `MemberUpdate` is their typed form.
+Member updates are sent as CBOR arrays `[node, state, incarnation, accuser, machine]`, in which the
+last two are left out when empty. `MemberUpdate` is their typed form.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 DIGEST_BUCKETS = 16
 MACHINE_FIELDS = 8
 UNTRACKED_PROBE = 0
-"""Number of pings whose answer is wanted for the updates that it carries, not for itself."""
+"""Probe number of pings that are not tracked, sent for the updates in the acknowledgement."""
 
 WireUpdate = Sequence[object]
 
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """What a node says of a member; `accuser` is set on suspicions, `machine` on joins."""
+    """State of a member; `accuser` is set for suspicions, `machine` in full entries."""
 
     node_id: NodeId
     state: MemberState
@@ -129,7 +129,7 @@
 @register_message(1, Priority.MEMBERSHIP)
 @dataclass(frozen=True, slots=True)
 class Ping(Message):
-    """Ask a member to acknowledge `probe`, a number of the asker's choice."""
+    """Requests an acknowledgement of `probe`, a number chosen by the sender."""
 
     probe: int
     updates: Sequence[WireUpdate] = ()
@@ -143,7 +143,7 @@
 @register_message(2, Priority.MEMBERSHIP)
 @dataclass(frozen=True, slots=True)
 class Acknowledge(Message):
-    """Answer a ping, or tell the asker of a `PingRequest` that its target answered."""
+    """Answers a ping, or reports to the sender of a `PingRequest` that the target answered."""
 
     probe: int
     updates: Sequence[WireUpdate] = ()
@@ -157,7 +157,7 @@
 @register_message(3, Priority.MEMBERSHIP)
 @dataclass(frozen=True, slots=True)
 class PingRequest(Message):
-    """Ask a helper to ping `target` and to pass on its answer under `probe`."""
+    """Requests that a helper ping `target` and report the answer with the number `probe`."""
 
     probe: int
     target: str
@@ -173,7 +173,7 @@
 @register_message(4, Priority.MEMBERSHIP)
 @dataclass(frozen=True, slots=True)
 class NegativeAcknowledge(Message):
-    """A helper is well, but the target of `probe` has not answered it (Lifeguard)."""
+    """A helper is reachable, but got no answer from the target of `probe` in time (Lifeguard)."""
 
     probe: int
 
@@ -185,7 +185,7 @@
 @register_message(5, Priority.MEMBERSHIP)
 @dataclass(frozen=True, slots=True)
 class Gossip(Message):
-    """Member updates on their own, when there is news and no probe to carry it."""
+    """Member updates that are sent without a probe."""
 
     updates: Sequence[WireUpdate]
 
@@ -197,7 +197,7 @@
 @register_message(6, Priority.MEMBERSHIP)
 @dataclass(frozen=True, slots=True)
 class JoinRequest(Message):
-    """A node that is not known yet introduces itself; answered by the first `StatePage`."""
+    """Requests to join, with the sender's own entry; answered by the first `StatePage`."""
 
     update: WireUpdate
 
@@ -210,7 +210,7 @@
 @register_message(7, Priority.MEMBERSHIP)
 @dataclass(frozen=True, slots=True)
 class StateRequest(Message):
-    """Ask for the members whose id sorts after `cursor`; answered by a `StatePage`."""
+    """Requests the members whose ids sort after `cursor`; answered by a `StatePage`."""
 
     cursor: str
 
@@ -240,7 +240,7 @@
 @register_message(9, Priority.MEMBERSHIP)
 @dataclass(frozen=True, slots=True)
 class StateDigest(Message):
-    """Anti-entropy: one number for each bucket of members; equal numbers mean equal lists."""
+    """Anti-entropy: one digest of the reachable members of each bucket."""
 
     buckets: Sequence[int]
 
@@ -255,7 +255,7 @@
 @register_message(10, Priority.MEMBERSHIP)
 @dataclass(frozen=True, slots=True)
 class MemberRequest(Message):
-    """Ask for the full entries of members that gossip named without their addresses."""
+    """Requests the full entries of members that the sender does not know."""
 
     node_ids: Sequence[str]
 
@@ -268,7 +268,7 @@
 @register_message(11, Priority.MEMBERSHIP)
 @dataclass(frozen=True, slots=True)
 class StateExchange(Message):
-    """Anti-entropy: all entries of one bucket; `wants_reply` asks for those that are newer."""
+    """Anti-entropy: entries of one bucket; `wants_reply` requests those newer at the receiver."""
 
     bucket: int
     wants_reply: bool
--- a/src/beamloom/protocol/messages.py
+++ b/src/beamloom/protocol/messages.py
@@ -1,8 +1,8 @@
 """Registry of node-to-node messages: each is a frozen dataclass with a kind number.
 
-On the wire a message is a CBOR array `[kind, field, field, ...]` in declaration order. A reader
-ignores trailing fields it does not know; fields added later need a default. A kind that is not
-known is ignored and counted, so that a rolling upgrade works.
+On the wire a message is a CBOR array `[kind, field, field, ...]` in declaration order. A receiver
+ignores trailing fields it does not know; fields added later need a default. Messages of an unknown
+kind are ignored and counted, which allows rolling upgrades.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Priority(IntEnum):
-    """Order in which the control budget serves messages; the lowest number goes first."""
+    """Order in which the control budget serves messages, the lowest number first."""
 
     MEMBERSHIP = 0
     CONFIGURATION = 1
@@ -37,9 +37,9 @@
 
 
 def register_message(kind: int, priority: Priority) -> Callable[[MessageType], MessageType]:
-    """Enter a message class under its kind number; raises ValueError when the number is taken."""
+    """Register a message class under its kind number; raises ValueError if the number is taken."""
 
-    def enter(message_type: MessageType) -> MessageType:
+    def register(message_type: MessageType) -> MessageType:
         if kind in MESSAGE_TYPES:
             raise ValueError(f"message kind {kind} is taken by {MESSAGE_TYPES[kind].__name__}")
         message_type.KIND = kind
@@ -47,7 +47,7 @@
         MESSAGE_TYPES[kind] = message_type
         return message_type
 
-    return enter
+    return register
 
 
 def required_field_count(message_type: type[Message]) -> int:
--- a/src/beamloom/protocol/partition_sets.py
+++ b/src/beamloom/protocol/partition_sets.py
@@ -1,7 +1,7 @@
 """Compact sets of partition numbers: a sorted list of 16-bit numbers, or a bitmap over a window.
 
-The first byte says which. A packed set never exceeds `MAXIMUM_PACKED_BYTES`; `split_partitions`
-cuts a larger set into parts that fit.
+The first byte is the format. A packed set never exceeds `MAXIMUM_PACKED_BYTES`; `split_partitions`
+splits a larger set into parts that fit.
 """
 
 from __future__ import annotations
--- a/src/beamloom/protocol/replay.py
+++ b/src/beamloom/protocol/replay.py
@@ -1,4 +1,4 @@
-"""Anti-replay windows: each sender's sequence numbers are taken once (RFC 4303, section 3.4.3)."""
+"""Anti-replay windows: each sequence number of a sender is accepted once (RFC 4303, 3.4.3)."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True)
 class _Window:
-    """The highest sequence number seen, and a bitmap of those below it."""
+    """The highest sequence number seen, and a bitmap of those seen, from the highest down."""
 
     highest: int = 0
     seen: int = 0
 
-    def take(self, sequence: int) -> bool:
-        """Mark a sequence number; false when it was seen or lies too far back."""
+    def accept(self, sequence: int) -> bool:
+        """Mark a sequence number as seen; return False if it was seen or is below the window."""
         if sequence > self.highest:
             shift = min(sequence - self.highest, WINDOW_SIZE)
             self.seen = ((self.seen << shift) | 1) & ((1 << WINDOW_SIZE) - 1)
@@ -35,19 +35,19 @@
 
 
 class ReplayGuard:
-    """Windows of all senders; the one longest unheard goes when there are too many."""
+    """Windows of up to `MAXIMUM_SENDERS` senders; the least recently used one is evicted."""
 
     def __init__(self) -> None:
         self._windows: OrderedDict[NodeId, _Window] = OrderedDict()
 
     def check(self, sender: NodeId, sequence: int) -> None:
-        """Take a sequence number; raises ReplayedDatagramError when it may not be taken again."""
+        """Mark a sequence number as seen; raises ReplayedDatagramError if it is not acceptable."""
         window = self._windows.setdefault(sender, _Window())
         self._windows.move_to_end(sender)
         if len(self._windows) > MAXIMUM_SENDERS:
             self._windows.popitem(last=False)
-        if not window.take(sequence):
+        if not window.accept(sequence):
             raise ReplayedDatagramError(
-                f"sequence {sequence} of {sender} was seen; if that node restarted under its old "
-                "name, give each start a new one"
+                f"sequence {sequence} of {sender} was already received or is too old; if that node "
+                "restarted under its old name, give each start a new one"
             )
--- a/src/beamloom/protocol/secret_messages.py
+++ b/src/beamloom/protocol/secret_messages.py
@@ -1,7 +1,7 @@
-"""Messages by which a node that cannot read the fleet's secret asks its neighbours for it.
+"""Messages with which a node that cannot read the fleet's secret requests it from other nodes.
 
-They travel under a key that everybody knows, so nothing in them is proof of anything but the
-nonce: who answers has got the request.
+They are signed with a well-known key, which authenticates no sender. The nonce only shows that an
+answer comes from a node that received the request.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from beamloom.protocol.messages import Message, Priority, register_message
 
 OPEN_KEY = b"beamloom-no-secret"
-"""Signs these messages alone; it only tells them from damaged datagrams."""
+"""Signs only these messages, so that damaged datagrams are detected."""
 
 
 @register_message(83, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class SecretRequest(Message):
-    """Ask for the fleet's secret; `nonce` is drawn anew at each start."""
+    """Requests the fleet's secret; `nonce` is random and new at each start."""
 
     nonce: bytes
 
@@ -25,7 +25,7 @@
 @register_message(84, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class SecretAnswer(Message):
-    """The fleet's secret, for the one who drew the nonce."""
+    """The fleet's secret, in answer to the request with this nonce."""
 
     nonce: bytes
     secret: bytes
--- a/src/beamloom/protocol/status_messages.py
+++ b/src/beamloom/protocol/status_messages.py
@@ -1,4 +1,4 @@
-"""Messages of fleet status: which node has which revision in force (kinds 60 to 64)."""
+"""Messages of fleet status: which node has which revision in force (kinds 60 to 63)."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 @register_message(60, Priority.STATUS)
 @dataclass(frozen=True, slots=True)
 class RevisionReported(Message):
-    """A node tells the aggregator of its group which revision it has in force."""
+    """A node reports the revision that it has in force to the aggregator of its group."""
 
     applied_revision: int
 
@@ -28,13 +28,13 @@
 @register_message(61, Priority.STATUS)
 @dataclass(frozen=True, slots=True)
 class RevisionRequested(Message):
-    """An aggregator asks a member of its group for a report."""
+    """An aggregator requests the report of a member of its group."""
 
 
 @register_message(62, Priority.STATUS)
 @dataclass(frozen=True, slots=True)
 class GroupStatusRequested(Message):
-    """A node asks an aggregator who of its group has `revision` in force."""
+    """A node requests from an aggregator which of its group have `revision` in force."""
 
     revision: int
 
@@ -46,7 +46,7 @@
 @register_message(63, Priority.STATUS)
 @dataclass(frozen=True, slots=True)
 class GroupStatusReported(Message):
-    """The members of a group that said they have `revision` in force, and those still behind."""
+    """The members of a group that reported `revision` or later, and those that reported less."""
 
     revision: int
     in_force: list[NodeId]
--- a/src/beamloom/protocol/view_messages.py
+++ b/src/beamloom/protocol/view_messages.py
@@ -1,8 +1,7 @@
-"""Messages by which nodes tell each other how much of the store they know.
+"""Messages that synchronize the nodes' views of the store.
 
-A digest says up to which revision a node knows each kind of object, and how long ago the store
-confirmed that. Who is behind asks, and gets the changes in parts. At 560 nodes a digest is about
-200 bytes; a node sends one a second to one peer, and `FORWARD_PEERS` more for each change.
+A digest has the revision of each kind of object that a node holds, and how long ago the store
+confirmed it. A node that is behind requests the changes and receives them in parts.
 """
 
 from __future__ import annotations
@@ -12,25 +11,26 @@
 from beamloom.protocol.messages import Message, Priority, register_message
 
 NEVER = -1
-"""In place of a revision or an age: nothing is known yet."""
+"""Stands for a revision or an age that is not known yet."""
 
 
 @register_message(80, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class ViewDigest(Message):
-    """What a node knows and whom.
+    """The sender's views of the store, and the readers, peers and backend faults that it knows.
+
+    `views` holds for each kind of object `[revision number, milliseconds since the store confirmed
+    it]`, and `eras` the store's era of each revision; senders of earlier versions leave it empty.
+    `marks` holds for each kind the highest version in the records themselves, which is independent
+    of store revisions, or -1 for kinds without versions.
 
-    `views` holds for each kind of object `[the store's number of its revision, milliseconds since
-    it was confirmed]`, and `eras` the store's era of each, none where the sender knows of no eras;
     `readers` holds `[id, milliseconds since the store last answered it]` of nodes that read the
-    store; `peers` holds `[host, milliseconds since it was heard]`. `zone` is the sender's.
-    `silent` holds `[backend, reporter, milliseconds since]` of openings that were not answered.
-    `stop` is how far the sender's own planned stop is (`StopState`). `failing` holds the same as
-    `silent` of answers that seem to be errors. `capacity` is the sender's own (`to_wire`), some 12
-    bytes, and empty where the sender is of an earlier version; `ranks` holds those of `peers` in
-    their order, -1 where the sender has not heard it. `marks` holds for each kind how far the
-    sender is by the records' own marks, which a store that lost changes does not take back: the
-    configuration's version, -1 for kinds without.
+    store, `peers` holds `[host, milliseconds since its last message]`, and `ranks` the capacity
+    ranks of these peers in the same order, -1 if unknown. `zone`, `stop` (a `StopState`) and
+    `capacity` (encoded by `to_wire`, empty from earlier versions) are the sender's own.
+
+    `silent` holds `[backend, reporter, milliseconds since]` for openings without an answer, and
+    `failing` the same for answers that look like errors.
     """
 
     views: list[list[int]]
@@ -49,13 +49,13 @@
 @register_message(81, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class ViewRequest(Message):
-    """Ask for the changes of one kind after a revision.
+    """Requests the changes of one kind after a revision.
 
-    `since` is the store's number of it (NEVER: everything is asked for), `era` the era.
-    `versions` name what the answer may build on, the best first; what that is depends on the kind.
-    Earlier releases named `bases` by the store's numbers, which may be given out twice: they are
-    passed over, and what is asked for so is told whole. `attempt` is how often the answer was
-    `AskElsewhere` before.
+    `since` is the number of the revision (NEVER requests everything), `era` its store era.
+    `versions` are versions that the sender holds and that the answer may be a difference to, the
+    best first. Earlier releases sent revision numbers as `bases`; these are not unique and are
+    ignored, so the answer is not a difference. `attempt` is 0 at first and rises with each
+    `AskElsewhere`.
     """
 
     view: int
@@ -69,10 +69,10 @@
 @register_message(86, Priority.CONFIGURATION)
 @dataclass(frozen=True, slots=True)
 class AskElsewhere(Message):
-    """A request is not answered, as the node has sent enough of its link; `hosts` may know more.
+    """Refers a request to `hosts` that may have the changes.
 
-    Some 60 bytes in place of an answer of thousands. Nodes of an earlier version pass it over and
-    repeat their request, as for one that was lost.
+    It is sent to limit the load of answers, and without hosts if the sender lacks the changes too.
+    Nodes of earlier versions ignore it and repeat their request, as if it was lost.
     """
 
     view: int
@@ -94,9 +94,6 @@
 @register_message(85, Priority.STATUS)
 @dataclass(frozen=True, slots=True)
 class BackendsDown(Message):
-    """Backends that a check has just found dead, by name; see `replication/down_reports.py`.
-
-    At 560 nodes a report takes about 100 bytes, which each node sends to `FORWARD_PEERS` others.
-    """
+    """Names of backends that a check has just found dead; see `replication/down_reports.py`."""
 
     names: list[str]
--- a/tests/measure_membership.py
+++ b/tests/measure_membership.py
@@ -1,7 +1,7 @@
 """Measure membership by fleet size: `python -m tests.measure_membership [NODES ...]`.
 
-Prints one Markdown row per size. Every message is counted as a datagram of its own, tag and
-envelope included; the processor time covers the cores, the codec and the event loop of the test.
+Prints one Markdown row per size. Each message is counted as a separate datagram with envelope and
+tag. The processor time covers the cores, the codec and the event loop of the test.
 """
 
 import statistics
@@ -20,7 +20,7 @@
 
 
 def byte_rates(fleet: Fleet, start: int, end: int) -> tuple[float, float]:
-    """Return the median over nodes, and the maximum over nodes and windows, in bytes/s."""
+    """Return the median of the nodes' mean rates and the peak rate of any window, in bytes/s."""
     means = []
     peak = 0.0
     for per_second in fleet.sent_bytes.values():
@@ -31,12 +31,13 @@
     return statistics.median(means), peak
 
 
-def seconds_until_known(fleet: Fleet, victims: list[NodeId]) -> float:
+def seconds_until_known(fleet: Fleet, crashed: list[NodeId]) -> float:
+    """Return how long until all other nodes record these as dead; infinity if they do not."""
     start = fleet.now
     while fleet.now < start + LONGEST_DETECTION:
         fleet.run(STEP)
-        believed = (state for victim in victims for state in fleet.states(victim).values())
-        if all(state is MemberState.DEAD for state in believed):
+        states = (state for node_id in crashed for state in fleet.states(node_id).values())
+        if all(state is MemberState.DEAD for state in states):
             return fleet.now - start
     return float("inf")
 
--- a/tests/membership_harness.py
+++ b/tests/membership_harness.py
@@ -1,4 +1,4 @@
-"""A fleet of membership cores in one process: virtual clock, delay, loss, splits, pauses."""
+"""Fleet of membership cores in one process with a virtual clock, delay, loss, splits and pauses."""
 
 from __future__ import annotations
 
@@ -29,11 +29,14 @@
 
 
 class Fleet:
-    """Cores by node id; `blocks(sender, receiver)` and `loss(sender, receiver)` are the faults."""
+    """Cores by node id, with simulated datagrams between them.
+
+    `blocks(sender, receiver)` drops every datagram, `loss(sender, receiver)` is a probability.
+    """
 
     def __init__(self, seed: int, settings: MembershipSettings | None = None) -> None:
         self.now = 0.0
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.settings = settings or MembershipSettings()
         self.cores: dict[NodeId, MembershipCore] = {}
         self.machines: dict[NodeId, Machine] = {}
@@ -50,7 +53,7 @@
 
     @classmethod
     def settled(cls, nodes: int, seed: int, settings: MembershipSettings | None = None) -> Fleet:
-        """A fleet in which everybody knows everybody as alive from the start."""
+        """Return a fleet in which all nodes know each other, and announce themselves as alive."""
         fleet = cls(seed, settings)
         machines = [machine(number) for number in range(nodes)]
         updates = [
@@ -69,8 +72,8 @@
 
     def add(self, item: Machine, seeds: list[Machine]) -> MembershipCore:
         addresses = [seed.control_address for seed in seeds]
-        chance = random.Random(f"{self.random.random()}{item.node_id}")
-        core = MembershipCore(item, addresses, self.settings, chance)
+        rng = random.Random(f"{self.rng.random()}{item.node_id}")
+        core = MembershipCore(item, addresses, self.settings, rng)
         self.cores[item.node_id] = core
         self.machines[item.node_id] = item
         self._by_address[item.control_address] = item.node_id
@@ -101,20 +104,20 @@
                     self._armed[node_id] = resume
                 self._push(resume, node_id, data)
             elif node_id in self.cores:
-                self._happen(node_id, data)
+                self._handle_event(node_id, data)
         self.now = end
 
     def states(self, subject: NodeId) -> dict[NodeId, MemberState | None]:
-        """What each other node believes of a member."""
-        believed = {}
+        """Return the state of a member in the list of each other node; None if not listed."""
+        states = {}
         for node_id, core in self.cores.items():
             member = core.view.member(subject)
             if node_id != subject:
-                believed[node_id] = member.state if member else None
-        return believed
+                states[node_id] = member.state if member else None
+        return states
 
     def deaths_seen(self) -> int:
-        """How many (node, running member) pairs have the member as dead."""
+        """Return how many (node, running member) pairs record the member as dead."""
         return sum(
             state is MemberState.DEAD
             for subject in self.cores
@@ -128,7 +131,7 @@
             for state in self.states(subject).values()
         )
 
-    def _happen(self, node_id: NodeId, data: bytes | None) -> None:
+    def _handle_event(self, node_id: NodeId, data: bytes | None) -> None:
         core = self.cores[node_id]
         if data is None:
             self._armed.pop(node_id, None)
@@ -149,10 +152,10 @@
         receiver = self._by_address.get(target) if isinstance(target, SocketAddress) else target
         if receiver is None or self.blocks(sender, receiver):
             return
-        if self.random.random() < self.loss(sender, receiver):
+        if self.rng.random() < self.loss(sender, receiver):
             return
         near = self.machines[sender].zone.region == self.machines[receiver].zone.region
-        delay = (SAME_REGION_DELAY if near else CROSS_REGION_DELAY) * self.random.uniform(1, 1.3)
+        delay = (SAME_REGION_DELAY if near else CROSS_REGION_DELAY) * self.rng.uniform(1, 1.3)
         self._push(self.now + delay, receiver, data)
 
     def _arm(self, node_id: NodeId) -> None:
--- a/tests/unit/test_codec.py
+++ b/tests/unit/test_codec.py
@@ -1,4 +1,4 @@
-"""The datagram codec refuses whatever no fleet member wrote, and says why."""
+"""Datagram codec: round trips, key rotation, unknown kinds, and rejection of invalid datagrams."""
 
 import unittest
 from dataclasses import dataclass
@@ -36,7 +36,7 @@
         with self.assertRaises(AuthenticationError):
             decode_datagram(KeyRing((NEW_KEY,)), datagram)
 
-    def test_newer_kind_is_ignored_and_counted(self) -> None:
+    def test_unknown_kind_is_ignored_and_counted(self) -> None:
         keys = KeyRing((NEW_KEY,))
         datagram = encode_datagram(keys, SENDER, 1, 0, [Sample(1), Sample(2)])
         entry = MESSAGE_TYPES.pop(9001)
@@ -46,7 +46,7 @@
             MESSAGE_TYPES[9001] = entry
         self.assertEqual((envelope.messages, envelope.unknown_messages), ((), 2))
 
-    def test_oversized_is_refused_on_both_sides(self) -> None:
+    def test_oversized_datagrams_are_rejected_by_sender_and_receiver(self) -> None:
         keys = KeyRing((NEW_KEY,))
         with self.assertRaises(OversizedDatagramError):
             encode_datagram(keys, SENDER, 1, 0, [Sample(1, "x" * 2000)])
--- a/tests/unit/test_membership_messages.py
+++ b/tests/unit/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Membership messages: sizes, round trips, and refusal of fields of the wrong type."""
+"""Membership messages: sizes, round trips, and rejection of malformed fields."""
 
 import unittest
 from dataclasses import replace
@@ -41,7 +41,7 @@
         ):
             self.assertEqual(decode_update(list(update.encode())), update)
 
-    def test_size_estimate_is_close_and_never_short(self) -> None:
+    def test_size_estimate_is_a_close_upper_bound(self) -> None:
         ipv6 = replace(machine(1), peer_address=SocketAddress("2001:db8::1", 65_535))
         for item in (None, machine(1), ipv6):
             update = MemberUpdate(NodeId("node-0001"), MemberState.ALIVE, 70_000, None, item)
@@ -49,7 +49,7 @@
             self.assertLessEqual(encoded, update_size(update))
             self.assertLessEqual(update_size(update), encoded + 8)
 
-    def test_refused(self) -> None:
+    def test_malformed_updates_are_rejected(self) -> None:
         for parts in (
             None,
             [],
@@ -92,11 +92,11 @@
         core.handle_message(NodeId("stranger"), message, 0.0)
         self.assertEqual(core.view.members.keys(), before.keys())
 
-    def test_malformed_update_is_counted_and_the_rest_is_taken(self) -> None:
+    def test_malformed_updates_are_counted_and_the_others_applied(self) -> None:
         fleet = Fleet.settled(3, seed=1)
         core = fleet.cores[NodeId("node-0000")]
-        good = MemberUpdate(NodeId("node-0002"), MemberState.LEAVING, 0).encode()
-        ping = message_from_list(message_to_list(Ping(1, [7, ["x"], good])))
+        valid = MemberUpdate(NodeId("node-0002"), MemberState.LEAVING, 0).encode()
+        ping = message_from_list(message_to_list(Ping(1, [7, ["x"], valid])))
         core.handle_message(NodeId("node-0001"), ping, 0.0)
         self.assertEqual(core.snapshot().counters.malformed_updates, 2)
         self.assertIs(core.view.members[NodeId("node-0002")].state, MemberState.LEAVING)
--- a/tests/unit/test_replay.py
+++ b/tests/unit/test_replay.py
@@ -1,4 +1,4 @@
-"""Each sequence number of a sender is taken once, also when datagrams arrive out of order."""
+"""Each sequence number of a sender is accepted once, also when datagrams arrive out of order."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class ReplayGuardTest(unittest.TestCase):
-    def test_reordered_datagrams_pass_once_and_replayed_ones_never(self) -> None:
+    def test_reordered_datagrams_are_accepted_once_and_replayed_ones_rejected(self) -> None:
         guard = ReplayGuard()
         for sequence in (3, 1, 2):
             guard.check(SENDER, sequence)
@@ -18,7 +18,7 @@
             with self.assertRaises(ReplayedDatagramError):
                 guard.check(SENDER, sequence)
 
-    def test_what_lies_too_far_back_is_refused(self) -> None:
+    def test_sequence_numbers_below_the_window_are_rejected(self) -> None:
         guard = ReplayGuard()
         guard.check(SENDER, 1 + WINDOW_SIZE)
         with self.assertRaises(ReplayedDatagramError):
