--- a/src/beamloom/membership/prober.py
+++ b/src/beamloom/membership/prober.py
@@ -244,7 +244,7 @@
             self._probe_again(member, probe.attempt, now)
 
     def _probe_again(self, member: Member, attempt: int, now: float) -> None:
-        """Probe a suspect again, with newly chosen helpers, if its suspicion is not confirmed."""
+        """Probe an unconfirmed suspect again, with new helpers, up to `MAXIMUM_ATTEMPTS` times."""
         suspicion = self._tracker.suspicions.get(member.machine.node_id)
         if suspicion is None or suspicion.is_confirmed or attempt >= MAXIMUM_ATTEMPTS:
             return
