--- a/src/beamloom/replication/applied_state.py
+++ b/src/beamloom/replication/applied_state.py
@@ -1,4 +1,4 @@
-"""The state in force together with the log of the steps that led to it."""
+"""The applied state together with the log of the changes that led to it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AppliedState:
-    """Applies steps and whole snapshots, and remembers what its consumers have not seen yet."""
+    """Applies changes and snapshots, and collects the changed objects for its consumer."""
 
     def __init__(self) -> None:
         self.state = ConfigurationState()
@@ -24,16 +24,18 @@
         return self.state.revision
 
     def apply(self, step: ReplicatedChange) -> None:
-        """Apply one step that follows the applied revision."""
+        """Apply one change that follows the applied revision."""
         self.state.apply(step)
         self.log.append(step)
         self._unseen.extend(step.objects)
         self.applied_steps += 1
 
     def load(self, state: ConfigurationState) -> None:
-        """Take the place of everything before; `state` must be newer, and verified."""
+        """Replace the state by that of a verified snapshot, which must be newer."""
         if state.revision <= self.revision:
-            raise ValueError(f"snapshot {state.revision} is not newer; keep {self.revision}")
+            raise ValueError(
+                f"snapshot {state.revision} is not newer than revision {self.revision}"
+            )
         self._unseen.extend(self.state.difference(state.revision, state.objects.values()).objects)
         self.state = state
         self.log.clear()
--- a/src/beamloom/replication/backend_history.py
+++ b/src/beamloom/replication/backend_history.py
@@ -1,4 +1,4 @@
-"""Per-service history of backend sets, derived from the order of changes alone."""
+"""History of the backend sets of each service, derived from replicated changes alone."""
 
 from __future__ import annotations
 
@@ -34,10 +34,11 @@
 def extend_histories(
     histories: dict[str, BackendHistory], changed: Iterable[StoredObject], revision: int
 ) -> None:
-    """Add one backend set to each service that a change touches.
+    """Append one backend set to each service whose backends are among `changed`.
 
-    Its revision is that of its newest object, so that listings of the store at different times
-    agree; `revision`, that of the change, serves when the newest change was a deletion.
+    The set's revision is that of its newest changed object, so that it does not depend on when the
+    store was listed. `revision`, that of the change, is used where no changed object is newer than
+    the previous set, as after a deletion.
     """
     by_service: dict[str, list[StoredObject]] = {}
     for stored in changed:
--- a/src/beamloom/replication/change_pull.py
+++ b/src/beamloom/replication/change_pull.py
@@ -1,4 +1,4 @@
-"""Asking peers for the steps that this node lacks, one question at a time."""
+"""Requests missing changes from peers, one request at a time."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 @dataclass(slots=True)
-class _Question:
-    """A question under way: the revision to reach and who was asked last."""
+class _PendingPull:
+    """The revision to reach, and the peer that was asked last."""
 
     target_revision: int
     peer: NodeId
@@ -24,49 +24,49 @@
 
 
 class ChangePull:
-    """Pulls steps up to a revision that a peer is known to have."""
+    """Pulls changes up to a revision that a peer is known to have."""
 
     def __init__(self, peers: PeerSelection) -> None:
         self.count = 0
         self._peers = peers
-        self._question: _Question | None = None
+        self._pending: _PendingPull | None = None
 
     def next_timer(self) -> float | None:
-        """Return when `poll` has something to do."""
-        return None if self._question is None else self._question.retry_at
+        """Return when `poll` is due next."""
+        return None if self._pending is None else self._pending.retry_at
 
-    def reached(self, revision: int) -> None:
-        """End a pull that the applied revision has overtaken."""
-        if self._question is not None and revision >= self._question.target_revision:
-            self._question = None
+    def revision_applied(self, revision: int) -> None:
+        """End the pull once its target revision has been applied."""
+        if self._pending is not None and revision >= self._pending.target_revision:
+            self._pending = None
 
-    def abandon(self) -> None:
-        """End the pull: the steps come by another way."""
-        self._question = None
+    def cancel(self) -> None:
+        """End the pull, as a snapshot is fetched instead."""
+        self._pending = None
 
-    def ask(self, peer: NodeId, revision: int, applied: int, now: float) -> list[Command]:
-        """Ask a peer that has `revision` for what follows `applied`.
+    def request(self, peer: NodeId, revision: int, applied: int, now: float) -> list[Command]:
+        """Request the changes after `applied` from a peer that has `revision`.
 
-        While another peer's answer may still come, only the revision to reach is raised.
+        Until the request to another peer times out, only the revision to reach is raised.
         """
-        question = self._question
-        if question is not None and now < question.retry_at and question.peer != peer:
-            question.target_revision = max(question.target_revision, revision)
+        pending = self._pending
+        if pending is not None and now < pending.retry_at and pending.peer != peer:
+            pending.target_revision = max(pending.target_revision, revision)
             return []
-        self._question = _Question(revision, peer, now + PULL_RETRY)
+        self._pending = _PendingPull(revision, peer, now + PULL_RETRY)
         self.count += 1
         return [SendMessage(peer, ChangesRequested(applied))]
 
     def poll(self, applied: int, now: float) -> list[Command]:
-        """Ask another peer where no answer came; after some attempts leave it to anti-entropy."""
-        question = self._question
-        if question is None or now < question.retry_at:
+        """Ask a random peer after a timeout; after several attempts leave it to anti-entropy."""
+        pending = self._pending
+        if pending is None or now < pending.retry_at:
             return []
         peers = self._peers.some(1)
-        if not peers or question.attempts >= MAXIMUM_PULL_ATTEMPTS:
-            self._question = None
+        if not peers or pending.attempts >= MAXIMUM_PULL_ATTEMPTS:
+            self._pending = None
             return []
-        question.attempts += 1
-        question.peer = peers[0]
-        question.retry_at = now + PULL_RETRY
-        return [SendMessage(question.peer, ChangesRequested(applied))]
+        pending.attempts += 1
+        pending.peer = peers[0]
+        pending.retry_at = now + PULL_RETRY
+        return [SendMessage(pending.peer, ChangesRequested(applied))]
--- a/src/beamloom/replication/change_push.py
+++ b/src/beamloom/replication/change_push.py
@@ -1,4 +1,4 @@
-"""What this node newly applied and passes on to random peers, at a bounded rate."""
+"""Pushes newly applied changes to random peers at a bounded rate."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 GOSSIP_FANOUT = 4
 BULK_FANOUT = 2
 BULK_BYTES = 500
-"""Above this size a push goes to fewer peers, and anti-entropy does the rest."""
+"""A larger push goes to `BULK_FANOUT` peers; anti-entropy brings it to the others."""
 PUSH_INTERVAL = 0.05
 PUSH_BYTES_PER_SECOND = 2000
 MAXIMUM_PUSH_PAUSE = 2.0
 
 
 class ChangePush:
-    """Steps that wait to be pushed; those that gather during a pause go together."""
+    """Changes to be pushed; those applied during a pause are sent together."""
 
     def __init__(self, peers: PeerSelection, service: PeerService, now: float) -> None:
         self._peers = peers
         self._service = service
         self._steps: list[ReplicatedChange] = []
         self._to_every_zone = False
-        self._due = now
+        self._next_push_at = now
 
     def add(self, step: ReplicatedChange) -> None:
-        """Pass a step on with the next push."""
+        """Include a change in the next push."""
         self._steps.append(step)
 
     def include_every_zone(self) -> None:
@@ -36,12 +36,12 @@
         self._to_every_zone = True
 
     def next_timer(self) -> float | None:
-        """Return when `poll` has something to do."""
-        return self._due if self._steps else None
+        """Return when `poll` is due next."""
+        return self._next_push_at if self._steps else None
 
     def poll(self, now: float) -> list[Command]:
-        """Push what waits, if the pause after the last push is over."""
-        if not self._steps or now < self._due:
+        """Push the pending changes if the pause after the last push is over."""
+        if not self._steps or now < self._next_push_at:
             return []
         steps, self._steps = self._steps, []
         size = sum(encoded_size(step) for step in steps)
@@ -51,5 +51,5 @@
             peers = self._peers.with_every_zone(peers)
         messages = self._service.push(steps)
         pause = size * len(peers) / PUSH_BYTES_PER_SECOND
-        self._due = now + max(PUSH_INTERVAL, min(pause, MAXIMUM_PUSH_PAUSE))
+        self._next_push_at = now + max(PUSH_INTERVAL, min(pause, MAXIMUM_PUSH_PAUSE))
         return [SendMessage(peer, message) for peer in peers for message in messages]
--- a/src/beamloom/replication/configuration_replica.py
+++ b/src/beamloom/replication/configuration_replica.py
@@ -1,8 +1,8 @@
 """The node's replica of the configuration: gossip, anti-entropy and snapshots.
 
 Push gossip with anti-entropy follows Demers et al., "Epidemic Algorithms for Replicated Database
-Maintenance" (PODC 1987). Every step names the revision that it follows, so that steps are applied
-in the store's order whoever sends them, and what is in force only rises.
+Maintenance" (PODC 1987). Every change names the revision that it follows, so changes are applied in
+the store's order whichever peer sends them, and the applied revision never decreases.
 """
 
 from __future__ import annotations
@@ -41,8 +41,10 @@
 
 ANTI_ENTROPY_INTERVAL = 1.0
 PENDING_LIMIT = 256
-LISTING_PATIENCE = 2.0
-FETCH_PATIENCE = 300.0
+LISTING_DELAY = 2.0
+"""How long peers have to supply the changes up to a listing before it is applied."""
+SNAPSHOT_FETCH_TIMEOUT = 300.0
+"""How much longer an empty node may postpone a listing to get a snapshot from ready peers."""
 MAXIMUM_CORRUPT_SNAPSHOTS = 2
 
 MessageHandler = Callable[[NodeId, Any, float], list[Command]]
@@ -75,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Listing:
-    """A listing that waits for peers who may hold the steps that led to it."""
+    """A listing held back because peers may hold the changes that led to it."""
 
     revision: int
     objects: tuple[StoredObject, ...]
@@ -84,12 +86,12 @@
 
 
 class ConfigurationReplica:
-    """Holds all replicated objects and keeps them level with the other nodes."""
+    """Holds all replicated objects and keeps them synchronized with the other nodes."""
 
-    def __init__(self, node_id: NodeId, chance: random.Random, now: float) -> None:
+    def __init__(self, node_id: NodeId, rng: random.Random, now: float) -> None:
         self.directory = ReaderDirectory()
-        self._chance = chance
-        self._peers = PeerSelection(node_id, chance)
+        self._rng = rng
+        self._peers = PeerSelection(node_id, rng)
         self._applied = AppliedState()
         self._service = PeerService(self._applied)
         self._join = JoinProgress()
@@ -97,7 +99,7 @@
         self._pull = ChangePull(self._peers)
         self._listing: _Listing | None = None
         self._pending: dict[int, ReplicatedChange] = {}
-        self._digest_at = now + chance.random() * ANTI_ENTROPY_INTERVAL
+        self._digest_at = now + rng.random() * ANTI_ENTROPY_INTERVAL
         self._counters = _Counters()
         self._handlers: dict[type[Message], MessageHandler] = {
             ChangesPushed: self._changes_pushed,
@@ -112,7 +114,7 @@
 
     @property
     def applied_revision(self) -> int:
-        """The store revision whose state is in force here; it never falls."""
+        """The store revision that this node has applied; it never decreases."""
         return self._applied.revision
 
     @property
@@ -127,7 +129,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this node has caught up with the highest of several peers, or the store."""
+        """Whether this node has reached the highest revision of its peers, or listed the store."""
         return self._join.ready
 
     def take_applied_changes(self) -> list[StoredObject]:
@@ -136,15 +138,15 @@
 
     @property
     def awaits_listing(self) -> bool:
-        """Whether a listing waits to be applied, or this node has nothing yet."""
+        """Whether a listing is pending, or nothing has been applied yet."""
         return self._listing is not None or self.applied_revision == 0
 
     def update_members(self, members: Sequence[Member], now: float) -> None:
-        """Learn who is a member."""
+        """Update the peers from the member list."""
         self._peers.update(members)
 
     def accept_change(self, stored: StoredObject, now: float) -> list[Command]:
-        """Take one change from a watch that began at or below `applied_revision`."""
+        """Apply one change from a watch that began at or below `applied_revision`."""
         if not is_replicated(stored.key) or stored.revision <= self.applied_revision:
             return []
         step = ReplicatedChange(self.applied_revision, stored.revision, (stored,))
@@ -156,35 +158,35 @@
     def accept_listing(
         self, revision: int, objects: Iterable[StoredObject], now: float, lease_number: int = 0
     ) -> list[Command]:
-        """Take a listing of the store.
+        """Apply a listing of the store, unless peers supply the changes up to it in time.
 
-        The node first asks its peers, who may hold the steps between or a snapshot, and applies
-        the listing when they do not: others could not continue from it. Readers of higher lease
-        numbers wait longer, so that one listing spreads instead of several.
+        A change made from a listing applies only to nodes at exactly this node's revision, so
+        changes or a snapshot from peers are preferred. Readers with higher lease numbers wait
+        longer, so that usually a single listing is spread.
         """
         if revision <= self.applied_revision:
-            self._join.level_with_store()
+            self._join.store_listed()
             return []
-        none_known = not self._peers.all
-        may_be_ready = self.applied_revision > 0 or self._peers.any_alive or none_known
-        patience = LISTING_PATIENCE * (lease_number + may_be_ready)
+        no_peers_known = not self._peers.all
+        fleet_may_be_ready = self.applied_revision > 0 or self._peers.any_alive or no_peers_known
+        delay = LISTING_DELAY * (lease_number + fleet_may_be_ready)
         self._listing = _Listing(
-            revision, tuple(objects), now + patience, now + patience + FETCH_PATIENCE
+            revision, tuple(objects), now + delay, now + delay + SNAPSHOT_FETCH_TIMEOUT
         )
         request = ChangesRequested(self.applied_revision)
         peers = self._peers.some(JOIN_PEERS) if self.applied_revision else []
         return [*(SendMessage(peer, request) for peer in peers), *self.poll(now)]
 
     def handle_message(self, sender: NodeId, message: Message, now: float) -> list[Command]:
-        """Take one message of this component; others are ignored."""
+        """Handle one message of this component; others are ignored."""
         handler = self._handlers.get(type(message))
         return [] if handler is None else handler(sender, message, now)
 
     def poll(self, now: float) -> list[Command]:
-        """Do whatever is due."""
+        """Run whatever is due."""
         commands = self._service.poll(now)
         if self._listing is not None and now >= self._listing.apply_at:
-            self._listing_due(self._listing, now)
+            self._apply_due_listing(self._listing, now)
         commands += self._push.poll(now)
         if now >= self._digest_at:
             commands += self._offer_digests(now)
@@ -195,7 +197,7 @@
         return commands
 
     def next_timer(self) -> float | None:
-        """Return when `poll` has something to do."""
+        """Return when `poll` is due next."""
         timers = [
             self._digest_at,
             self._service.next_timer(),
@@ -236,29 +238,29 @@
                 self._apply(step)
             if revision <= self.applied_revision:
                 del self._pending[revision]
-        self._settle()
+        self._clear_satisfied()
 
-    def _settle(self) -> None:
-        """End a pull, a fetch or a listing that the applied revision has overtaken."""
+    def _clear_satisfied(self) -> None:
+        """End a pull, a fetch or a listing whose revision has been reached."""
         applied = self.applied_revision
-        self._pull.reached(applied)
+        self._pull.revision_applied(applied)
         if self._listing is not None and applied >= self._listing.revision:
             self._listing = None
-            self._join.level_with_store()
+            self._join.store_listed()
         name = self._service.fetch.name if self._service.fetch is not None else None
         if name is not None and applied >= name[0]:
             self._service.fetch = None
-        self._join.reached(applied)
+        self._join.revision_applied(applied)
 
-    def _listing_due(self, listing: _Listing, now: float) -> None:
-        """Apply a listing, unless this node is empty and is getting a ready peer's snapshot."""
+    def _apply_due_listing(self, listing: _Listing, now: float) -> None:
+        """Apply a due listing, or postpone it while an empty node can get a snapshot instead."""
         fetching = self.applied_revision == 0 and self._join.target_revision > 0
-        trusted = self._counters.corrupt < MAXIMUM_CORRUPT_SNAPSHOTS
-        if fetching and trusted and now < listing.apply_by:
-            self._listing = replace(listing, apply_at=now + LISTING_PATIENCE)
+        snapshots_usable = self._counters.corrupt < MAXIMUM_CORRUPT_SNAPSHOTS
+        if fetching and snapshots_usable and now < listing.apply_by:
+            self._listing = replace(listing, apply_at=now + LISTING_DELAY)
             return
         self._listing = None
-        self._join.level_with_store()
+        self._join.store_listed()
         step = self._applied.state.difference(listing.revision, listing.objects)
         useful = bool(step.objects) or self.applied_revision == 0
         if useful and listing.revision > self.applied_revision:
@@ -269,14 +271,14 @@
     def _changes_pushed(self, sender: NodeId, message: ChangesPushed, now: float) -> list[Command]:
         for parts in message.changes:
             try:
-                self._take_step(change_from_list(parts))
+                self._accept_step(change_from_list(parts))
             except ValueError:
                 self._counters.malformed += 1
         self._apply_pending()
         commands = self._pull_from(sender, message.applied_revision, now)
         return commands + self.poll(now)
 
-    def _take_step(self, step: ReplicatedChange) -> None:
+    def _accept_step(self, step: ReplicatedChange) -> None:
         if step.revision <= self.applied_revision:
             self._counters.duplicate += 1
         elif step.follows(self.applied_revision):
@@ -287,7 +289,7 @@
     def _pull_from(self, peer: NodeId, revision: int, now: float) -> list[Command]:
         if revision <= self.applied_revision or self._service.fetch is not None:
             return []
-        return self._pull.ask(peer, revision, self.applied_revision, now)
+        return self._pull.request(peer, revision, self.applied_revision, now)
 
     def _changes_requested(
         self, sender: NodeId, message: ChangesRequested, now: float
@@ -299,9 +301,9 @@
     ) -> list[Command]:
         if message.applied_revision <= self.applied_revision or self._service.fetch is not None:
             return []
-        self._pull.abandon()
-        self._service.fetch = SnapshotFetch(self.applied_revision, self._chance, now)
-        return self._service.fetch.ask(self._peers.all)
+        self._pull.cancel()
+        self._service.fetch = SnapshotFetch(self.applied_revision, self._rng, now)
+        return self._service.fetch.request_offers(self._peers.all)
 
     def _snapshot_requested(
         self, sender: NodeId, message: SnapshotRequested, now: float
@@ -348,8 +350,8 @@
         commands: list[Command] = []
         if message.ready and not self.ready:
             peer_count = len(self._peers.all)
-            self._join.answered(sender, message.applied_revision, peer_count, now)
-            self._join.reached(self.applied_revision)
+            self._join.peer_answered(sender, message.applied_revision, peer_count, now)
+            self._join.revision_applied(self.applied_revision)
         commands += self._pull_from(sender, message.applied_revision, now)
         if message.ready and message.applied_revision < self.applied_revision:
             commands += self._service.changes_after(sender, message.applied_revision)
--- a/src/beamloom/replication/configuration_state.py
+++ b/src/beamloom/replication/configuration_state.py
@@ -28,11 +28,11 @@
 
 
 class SnapshotCorruptError(Exception):
-    """A snapshot's bytes are not what its digest says; fetch it again from another peer."""
+    """A snapshot does not match its digest or cannot be decoded."""
 
 
 def is_replicated(key: str) -> bool:
-    """Return whether an object belongs to the replicated order; leases do not."""
+    """Return whether an object is replicated; leases are not."""
     return not key.startswith(LEASE_PREFIX)
 
 
@@ -50,10 +50,10 @@
         self.backend_histories: dict[str, BackendHistory] = {}
 
     def apply(self, change: ReplicatedChange) -> None:
-        """Apply one step; raises ValueError when it does not follow the current revision."""
+        """Apply one change; raises ValueError unless it follows the current revision."""
         if not change.follows(self.revision):
             raise ValueError(
-                f"change {change.revision} does not follow {self.revision}; pull first"
+                f"change {change.revision} does not follow revision {self.revision} of this state"
             )
         for stored in change.objects:
             if stored.value is None:
@@ -65,7 +65,7 @@
         self.revision = change.revision
 
     def difference(self, revision: int, listed: Iterable[StoredObject]) -> ReplicatedChange:
-        """Return the step from this state to a listing of the store as of `revision`."""
+        """Return the change from this state to a listing of the store as of `revision`."""
         found = {stored.key: stored for stored in listed if is_replicated(stored.key)}
         changed = [stored for key, stored in found.items() if self.objects.get(key) != stored]
         deleted = [
@@ -87,7 +87,7 @@
                 del self.backend_histories[service]
 
     def encode(self) -> bytes:
-        """Return the snapshot: the same bytes on every node that is at the same revision."""
+        """Return the snapshot: equal objects and histories are encoded to the same bytes."""
         pool = [self.objects[key] for key in sorted(self.objects)]
         indexes = {id(stored): index for index, stored in enumerate(pool)}
         by_name = {(item.key, item.revision): index for index, item in enumerate(pool)}
@@ -114,11 +114,11 @@
     def decode(cls, data: bytes, digest: bytes) -> ConfigurationState:
         """Return the state of a snapshot; raises SnapshotCorruptError unless it is intact."""
         if snapshot_digest(data) != digest:
-            raise SnapshotCorruptError("the digest differs; fetch the parts again")
+            raise SnapshotCorruptError("the snapshot does not match its digest")
         try:
             return cls._decode(cbor2.loads(_decompress(data)))
         except (ValueError, TypeError, IndexError, zlib.error, cbor2.CBORDecodeError) as error:
-            raise SnapshotCorruptError(f"{error}; fetch it from another peer") from error
+            raise SnapshotCorruptError(f"{error}; the snapshot cannot be decoded") from error
 
     @classmethod
     def _decode(cls, parts: list[Any]) -> ConfigurationState:
--- a/src/beamloom/replication/peer_service.py
+++ b/src/beamloom/replication/peer_service.py
@@ -1,4 +1,4 @@
-"""Answers peers that lag: with the changes they lack, or with a snapshot."""
+"""Serves missing changes and snapshots to peers that lag behind."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PeerService:
-    """The serving side of replication."""
+    """Answers the requests of peers, and builds the messages of pushes."""
 
     def __init__(self, applied: AppliedState) -> None:
         self._applied = applied
@@ -33,13 +33,14 @@
     def push(self, steps: Sequence[ReplicatedChange]) -> list[ChangesPushed]:
         """Return the messages that carry `steps`.
 
-        A step too long for a message is left out: its revision makes the receiver ask.
+        A change too long for a message is omitted; receivers pull because the messages name the
+        applied revision.
         """
         sendable = [step for step in steps if fits_one_message(step)]
         return [self._message(group) for group in pack_changes(sendable)] or [self._message(())]
 
     def changes_after(self, peer: NodeId, revision: int) -> list[Command]:
-        """Return the first changes after `revision`, or say that the log lacks them."""
+        """Return the first changes after `revision`, or ChangesUnavailable if none can be sent."""
         if revision >= self._applied.revision:
             return []
         steps = self._applied.log.after(revision)
@@ -55,9 +56,10 @@
         return [SendMessage(peer, message) for message in messages]
 
     def snapshot_requested(self, peer: NodeId, message: SnapshotRequested) -> list[Command]:
-        """Offer the snapshot asked for, or the newest one that the log still continues.
+        """Offer the requested snapshot, or one from which the log continues.
 
-        A node that is still fetching offers the parts it has; a busy one offers nothing.
+        A node that is fetching the requested snapshot, or has no state yet, offers the parts that
+        it has received. A node with a full queue offers nothing.
         """
         revision = self._applied.revision
         if self._sender.busy:
@@ -77,14 +79,14 @@
         return [SendMessage(peer, offer)]
 
     def keep_fetched(self, fetch: SnapshotFetch) -> None:
-        """Go on offering a snapshot that was fetched and verified."""
+        """Keep a fetched and verified snapshot to offer it to peers."""
         if fetch.name is not None:
             self._sender.keep(fetch.name, fetch.data)
 
     def parts_requested(
         self, peer: NodeId, message: SnapshotPartsRequested, now: float
     ) -> list[Command]:
-        """Queue parts of a snapshot."""
+        """Queue parts of a snapshot for a peer."""
         name = (message.revision, message.digest)
         self._sender.request(peer, name, message.indexes, now)
         return self.poll(now)
@@ -98,6 +100,6 @@
         return self._sender.next_timer()
 
     def _message(self, steps: Sequence[ReplicatedChange], last: bool = True) -> ChangesPushed:
-        """Return a push; only the last of several names the newest, so that one pull follows."""
+        """Return a push; only the last of several names the applied revision, to cause one pull."""
         newest = self._applied.revision if last else steps[-1].revision
         return ChangesPushed([change_to_list(step) for step in steps], newest)
--- a/src/beamloom/replication/snapshot_sender.py
+++ b/src/beamloom/replication/snapshot_sender.py
@@ -1,4 +1,4 @@
-"""Serves snapshots to joining nodes, in parts, at a pace that leaves room for other traffic."""
+"""Sends snapshots to peers in parts, at a rate that leaves bandwidth for other traffic."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 PART_SIZE = 1000
 PART_INTERVAL = 0.55
-"""Seconds between parts: about 2 KB/s with headers, over all who fetch from this node."""
+"""Seconds between parts: about 2 KB/s with headers, for all receivers together."""
 KEPT_SNAPSHOTS = 2
 REUSE_REVISIONS = 256
+"""A kept snapshot is offered until it is this many revisions old."""
 QUEUE_LIMIT = 16
 
 SnapshotName = tuple[int, bytes]
@@ -22,7 +23,7 @@
 
 
 class SnapshotSender:
-    """Keeps the last snapshots built and sends the parts that peers ask for, one at a time."""
+    """Keeps the last snapshots built or fetched, and sends requested parts one at a time."""
 
     def __init__(self) -> None:
         self._snapshots: OrderedDict[SnapshotName, bytes] = OrderedDict()
@@ -34,9 +35,11 @@
     def offer(
         self, state: ConfigurationState, revision: int, digest: bytes, oldest_useful: int
     ) -> SnapshotOffered:
-        """Return the snapshot named, if this node has or can build it, else its newest one.
+        """Return an offer of the named snapshot if this node keeps it, else of a recent one.
 
-        Without a digest, the snapshot is newer than `revision`.
+        The last snapshot kept is offered unless it is older than `oldest_useful`, older than a
+        named one of the current revision or, without a digest, not newer than `revision`. Then a
+        new one is built.
         """
         name = (revision, digest)
         if name not in self._snapshots:
@@ -48,24 +51,24 @@
 
     @property
     def busy(self) -> bool:
-        """Whether the queue is so long that peers had better ask others."""
+        """Whether the queue is full, so that peers should ask other nodes."""
         return len(self._queue) >= QUEUE_LIMIT
 
     def keep(self, name: SnapshotName, data: bytes) -> None:
-        """Keep a verified snapshot that was fetched, so that peers can have the very same one."""
+        """Keep a snapshot, so that all peers get identical bytes; the oldest one is evicted."""
         self._snapshots[name] = data
         self._snapshots.move_to_end(name)
         while len(self._snapshots) > KEPT_SNAPSHOTS:
             self._snapshots.popitem(last=False)
 
     def share(self, name: SnapshotName, parts: Mapping[int, bytes]) -> None:
-        """Pass on parts of a snapshot that this node is still fetching."""
+        """Serve the parts of a snapshot that this node is still fetching."""
         self._partial = (name, parts)
 
     def request(
         self, sender: NodeId, name: SnapshotName, indexes: Sequence[int], now: float
     ) -> None:
-        """Queue parts for a peer; what does not fit is asked for again by the peer."""
+        """Queue parts for a peer; parts beyond the queue limit are ignored."""
         shared = self._partial is not None and self._partial[0] == name
         if name not in self._snapshots and not shared:
             return
--- a/tests/unit/test_configuration_replica.py
+++ b/tests/unit/test_configuration_replica.py
@@ -1,4 +1,4 @@
-"""A replica applies steps in the store's order only, however they arrive."""
+"""A replica applies changes in the store's order, whatever the order of their arrival."""
 
 import random
 import unittest
@@ -20,7 +20,7 @@
 from beamloom.protocol.messages import Message
 from beamloom.replication.backend_history import HISTORY_LENGTH
 from beamloom.replication.change_log import ChangeLog
-from beamloom.replication.configuration_replica import LISTING_PATIENCE, ConfigurationReplica
+from beamloom.replication.configuration_replica import LISTING_DELAY, ConfigurationReplica
 from beamloom.replication.configuration_state import (
     ConfigurationState,
     SnapshotCorruptError,
@@ -55,18 +55,18 @@
 
 
 class ListingTest(unittest.TestCase):
-    def test_listing_waits_while_no_member_is_known_yet(self) -> None:
-        """Found by rolling-replacement, seed 1: a listing has no backend sets of the past."""
+    def test_listing_is_delayed_while_no_member_is_known(self) -> None:
+        """A listing lacks earlier backend sets, so peers must get time to supply the changes."""
         replica = make_replica()
         replica.accept_listing(9, [stored("tenant/t", 9)], 0.0)
-        replica.poll(LISTING_PATIENCE - 0.1)
+        replica.poll(LISTING_DELAY - 0.1)
         self.assertEqual(replica.applied_revision, 0)
-        replica.poll(LISTING_PATIENCE)
+        replica.poll(LISTING_DELAY)
         self.assertEqual(replica.applied_revision, 9)
 
 
 class OrderTest(unittest.TestCase):
-    def test_gap_waits_and_is_pulled_from_the_sender(self) -> None:
+    def test_gap_is_pulled_from_the_sender_and_later_changes_are_held(self) -> None:
         replica = make_replica()
         replica.handle_message(PEER, pushed(step(0, 2)), 0.0)
         commands = replica.handle_message(PEER, pushed(step(5, 9), applied=9), 0.0)
@@ -76,7 +76,7 @@
         self.assertEqual(replica.applied_revision, 9)
         self.assertEqual([item.revision for item in replica.take_applied_changes()], [2, 5, 9])
 
-    def test_reorder_and_duplicates_apply_each_step_once(self) -> None:
+    def test_reordered_and_duplicate_changes_are_applied_once(self) -> None:
         replica = make_replica()
         order = [step(3, 4), step(1, 3), step(0, 1), step(1, 3), step(0, 1)]
         for item in order:
@@ -84,14 +84,14 @@
         self.assertEqual([item.revision for item in replica.take_applied_changes()], [1, 3, 4])
         self.assertEqual(replica.snapshot().duplicate_changes, 2)
 
-    def test_malformed_change_is_counted_and_changes_nothing(self) -> None:
+    def test_malformed_change_is_counted_and_ignored(self) -> None:
         replica = make_replica()
         for parts in ([], [1, 1, [], False], [0, 1, [["k", 3, 1, 1]], False], [0, 1, [7], 0]):
             replica.handle_message(PEER, ChangesPushed([parts], 0), 0.0)
         self.assertEqual(replica.snapshot().malformed_changes, 4)
         self.assertEqual(replica.applied_revision, 0)
 
-    def test_leases_stay_out_of_the_order_and_the_chain_goes_on(self) -> None:
+    def test_leases_are_not_replicated_and_leave_no_gap(self) -> None:
         replica, other = make_replica(), make_replica("other")
         for item in (stored("tenant/t", 1), stored("lease/reader/0", 2), stored("tenant/t", 3)):
             replica.accept_change(item, 0.0)
@@ -100,7 +100,7 @@
         other.handle_message(PEER, pushed(step(0, 1), step(1, 3)), 0.0)
         self.assertEqual(dict(other.objects), dict(replica.objects))
 
-    def test_listing_step_applies_only_to_the_very_state_it_was_made_from(self) -> None:
+    def test_change_from_a_listing_applies_only_to_the_revision_it_was_made_from(self) -> None:
         listing = ReplicatedChange(1, 9, (stored("tenant/t", 9),), from_listing=True)
         self.assertTrue(listing.follows(1))
         self.assertFalse(listing.follows(4))
@@ -112,7 +112,7 @@
         log.append(listing)
         self.assertIsNone(log.after(0))
 
-    def test_change_too_long_to_push_travels_by_snapshot(self) -> None:
+    def test_change_too_long_to_push_is_replicated_by_snapshot(self) -> None:
         replica = make_replica()
         value = {"values": {f"name-{n}": "x" * 50 for n in range(40)}}
         replica.accept_change(stored("settings/global", 1, value), 0.0)
@@ -124,16 +124,16 @@
 
 class SnapshotTest(unittest.TestCase):
     def state(self, revisions: int = 200) -> ConfigurationState:
-        state, chance = ConfigurationState(), random.Random(3)
+        state, rng = ConfigurationState(), random.Random(3)
         for revision in range(1, revisions + 1):
-            key = f"backend/t/s{chance.randrange(3)}/b{chance.randrange(6)}"
-            item = StoredObject(key, {"operation": chance.randbytes(30)}, revision, revision)
-            if key in state.objects and chance.random() < 0.3:
+            key = f"backend/t/s{rng.randrange(3)}/b{rng.randrange(6)}"
+            item = StoredObject(key, {"operation": rng.randbytes(30)}, revision, revision)
+            if key in state.objects and rng.random() < 0.3:
                 item = StoredObject(key, None, revision, revision)
             state.apply(ReplicatedChange(revision - 1, revision, (item,)))
         return state
 
-    def test_snapshot_carries_the_very_same_histories(self) -> None:
+    def test_decoded_snapshot_has_the_same_objects_and_histories(self) -> None:
         state = self.state()
         data = state.encode()
         loaded = ConfigurationState.decode(data, snapshot_digest(data))
@@ -145,7 +145,7 @@
         current = {key: item for key, item in state.objects.items() if "/s0/" in key}
         self.assertEqual({item.key: item for item in history[-1].objects}, current)
 
-    def test_altered_or_truncated_snapshots_are_refused(self) -> None:
+    def test_altered_and_truncated_snapshots_are_rejected(self) -> None:
         data = self.state().encode()
         digest = snapshot_digest(data)
         for altered in (data[:-1], data[:40] + b"!" + data[41:], b""):
@@ -154,7 +154,7 @@
             with self.assertRaises(SnapshotCorruptError):
                 ConfigurationState.decode(altered, snapshot_digest(altered))
 
-    def test_offer_is_newer_than_the_revision_asked_for(self) -> None:
+    def test_offer_is_newer_than_the_requested_revision(self) -> None:
         state, sender = self.state(20), SnapshotSender()
         old = sender.offer(state, 0, b"", 0)
         state.apply(step(20, 21))
@@ -162,14 +162,14 @@
         self.assertEqual(sender.offer(state, 20, b"", 0).revision, 21)
         self.assertEqual(sender.offer(state, 20, old.digest, 0), old)
 
-    def test_tampered_part_is_found_out_and_the_fetch_starts_again(self) -> None:
+    def test_fetch_restarts_without_the_peer_that_sent_a_tampered_part(self) -> None:
         state, sender = self.state(400), SnapshotSender()
         fetch = SnapshotFetch(0, random.Random(1), 0.0)
         offer = sender.offer(state, 0, b"", 0)
         self.assertGreater(offer.part_count, 1)
         name, now = (offer.revision, offer.digest), 0.0
         for peer, tampered in ((PEER, True), (HONEST, False)):
-            commands = fetch.ask([PEER, HONEST])
+            commands = fetch.request_offers([PEER, HONEST])
             asked = {item.destination for item in commands if isinstance(item, SendMessage)}
             self.assertEqual(asked, {PEER, HONEST} if tampered else {HONEST})
             fetch.offered(peer, offer, now)
--- a/tests/unit/test_reader_lease.py
+++ b/tests/unit/test_reader_lease.py
@@ -1,4 +1,4 @@
-"""A lease holder knows when it lapsed; a lost answer is resolved by reading back."""
+"""A lease is held by one node at a time, also after lost answers and pauses."""
 
 import itertools
 import random
@@ -16,7 +16,7 @@
     StoreObjectRead,
     StoreWritten,
 )
-from beamloom.replication.configuration_replica import LISTING_PATIENCE, ConfigurationReplica
+from beamloom.replication.configuration_replica import LISTING_DELAY, ConfigurationReplica
 from beamloom.replication.reader_candidates import candidate_rank
 from beamloom.replication.reader_election import ReaderElection
 from beamloom.replication.reader_lease import HOLDING, ReaderLease
@@ -41,7 +41,7 @@
 
 
 def due(lease: ReaderLease, now: float) -> tuple[list[Command], float]:
-    """Poll at the lease's own timer until it asks the store something."""
+    """Poll at the lease's timers until it sends a request to the store; return it and its time."""
     for _ in range(20):
         now = max(now, lease.next_timer() or now)
         commands = [
@@ -49,7 +49,7 @@
         ]
         if commands:
             return commands, now
-    raise AssertionError("the lease asks for nothing")
+    raise AssertionError("the lease sent no request")
 
 
 def member(number: int, state: MemberState = MemberState.ALIVE) -> Member:
@@ -65,19 +65,19 @@
 
 
 class CandidatesTest(unittest.TestCase):
-    def test_first_candidates_stand_in_different_zones_of_both_regions(self) -> None:
+    def test_first_candidates_are_in_different_zones_of_both_regions(self) -> None:
         members = [member(number) for number in range(60)]
         zones = [candidates(number, members)[0].machine.zone for number in range(3)]
         self.assertEqual(len(set(zones)), 3)
         self.assertEqual({zone.region for zone in zones}, {"a", "b"})
 
-    def test_next_zone_stands_in_for_one_that_is_lost(self) -> None:
+    def test_next_zone_replaces_a_lost_one(self) -> None:
         members = [member(number) for number in range(60)]
         lost = candidates(0, members)[0].machine.zone
         left = [item for item in members if item.machine.zone != lost]
         self.assertEqual(len(candidates(0, left)), 3)
 
-    def test_joining_nodes_stand_only_while_nobody_is_alive(self) -> None:
+    def test_joining_nodes_are_candidates_only_if_no_node_is_alive(self) -> None:
         joining = [member(number, MemberState.JOINING) for number in range(60)]
         self.assertEqual(len(candidates(0, joining)), 3)
         self.assertEqual(candidates(0, [*joining, member(60)]), [member(60)])
@@ -94,7 +94,7 @@
         self.assertTrue(lease.holding)
         return lease, now
 
-    def test_unchanged_revision_is_taken_over_only_after_the_duration(self) -> None:
+    def test_lease_that_is_not_renewed_is_acquired_only_after_its_duration(self) -> None:
         lease, now, first = make_lease(), 0.0, None
         while True:
             (command,), now = due(lease, now)
@@ -105,7 +105,7 @@
         self.assertGreater(now - (first or 0.0), DURATION)
         self.assertEqual(command.expected_revision, 5)
 
-    def test_renewed_lease_is_left_alone(self) -> None:
+    def test_renewed_lease_is_not_acquired(self) -> None:
         lease, now = make_lease(), 0.0
         for revision in range(5, 40):
             (command,), now = due(lease, now)
@@ -127,7 +127,7 @@
             if took_effect:
                 self.assertTrue(lease.check_expiry(sent_at + DURATION))
 
-    def test_two_racing_candidates_one_holds(self) -> None:
+    def test_candidate_that_loses_a_race_does_not_hold_the_lease(self) -> None:
         lease = make_lease()
         (read,), now = due(lease, 0.0)
         lease.handle(StoreObjectRead(read.request_id, None), now)
@@ -148,10 +148,10 @@
 
 
 class PausedReaderTest(unittest.TestCase):
-    def test_paused_reader_stops_before_it_takes_a_late_watch_answer(self) -> None:
+    def test_paused_reader_stops_before_it_handles_a_late_watch_answer(self) -> None:
         replica = ConfigurationReplica(NODE, random.Random(1), 0.0)
         replica.accept_listing(3, [], 0.0)
-        replica.poll(LISTING_PATIENCE)
+        replica.poll(LISTING_DELAY)
         ids = itertools.count(1)
         election = ReaderElection(
             NODE, replica, random.Random(1), ids, reader_count=1, lease_duration=DURATION
