--- a/src/beamloom/replication/reader_candidates.py
+++ b/src/beamloom/replication/reader_candidates.py
@@ -1,8 +1,8 @@
-"""Orders the candidates of each reader lease, the same on every node with the same members.
+"""Orders the candidates of each reader lease, identically on all nodes with the same members.
 
-Leases prefer different zones, in turn from different regions, so that a zone or a region which is
-cut off from the rest takes few readers with it. Within a zone the order is rendezvous hashing
-(Thaler and Ravishankar, 1998).
+Leases prefer different zones, alternating between regions, so that the partition of a zone or a
+region affects few readers. Within a zone candidates are ordered by rendezvous hashing (Thaler and
+Ravishankar, 1998).
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 def eligible_members(members: Sequence[Member]) -> list[Member]:
-    """Return who may hold a lease: alive members; joining ones while there are no others."""
+    """Return the members that may hold a lease: alive ones, or joining ones if none is alive."""
     alive = [item for item in members if item.state is MemberState.ALIVE]
     return alive or [item for item in members if item.state is MemberState.JOINING]
 
 
 def zone_order(members: Sequence[Member]) -> list[Zone]:
-    """Return the zones of the members, in turn from each region."""
+    """Return the zones of the members, alternating between regions."""
     regions: dict[str, set[Zone]] = {}
     for item in members:
         regions.setdefault(item.machine.zone.region, set()).add(item.machine.zone)
@@ -34,7 +34,7 @@
 
 
 def candidate_rank(number: int, node_id: NodeId, members: Sequence[Member]) -> int | None:
-    """Return a node's place among the candidates of a lease; None when it is not one of them."""
+    """Return a node's rank among the candidates of a lease, or None if it is no candidate."""
     eligible = eligible_members(members)
     zones = zone_order(eligible)
     if not zones:
--- a/src/beamloom/replication/reader_directory.py
+++ b/src/beamloom/replication/reader_directory.py
@@ -1,4 +1,4 @@
-"""Who holds the reader leases, as digests tell it; the highest store revision wins."""
+"""Holders of the reader leases, exchanged in digests; the highest store revision wins."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class ReaderDirectory:
-    """The newest holder known of each reader lease."""
+    """The newest known holder of each reader lease."""
 
     def __init__(self) -> None:
         self._leases: dict[int, tuple[NodeId, int]] = {}
 
     @property
     def holders(self) -> tuple[NodeId, ...]:
-        """The holders known, by lease number."""
+        """The known holders, by lease number."""
         return tuple(self._leases[number][0] for number in sorted(self._leases))
 
-    def learn(self, number: int, holder: NodeId, revision: int) -> None:
-        """Take what the store said of a lease."""
+    def record(self, number: int, holder: NodeId, revision: int) -> None:
+        """Record the holder of a lease, unless a newer one is known."""
         known = self._leases.get(number)
         if (known is None or known[1] < revision) and 0 <= number < MAXIMUM_LEASES:
             self._leases[number] = (holder, revision)
@@ -32,9 +32,9 @@
         return [[number, *self._leases[number]] for number in sorted(self._leases)]
 
     def merge(self, leases: Iterable[list[Any]]) -> bool:
-        """Take a digest's field; returns whether this node knew a newer holder than the digest."""
+        """Merge a digest's field; returns whether this node knew a newer holder of any lease."""
         theirs: dict[int, int] = {}
         for number, holder, revision in leases:
             theirs[number] = revision
-            self.learn(number, NodeId(holder), revision)
+            self.record(number, NodeId(holder), revision)
         return any(known[1] > theirs.get(number, 0) for number, known in self._leases.items())
--- a/src/beamloom/replication/reader_election.py
+++ b/src/beamloom/replication/reader_election.py
@@ -1,7 +1,7 @@
-"""Chooses the two or three nodes that read the store, without a controller.
+"""Elects the nodes that read the store, without a controller.
 
-Every node orders the candidates of each lease alike (`reader_candidates`), so that only the first
-few of the fleet ever ask the store.
+Nodes with the same members order the candidates of each lease alike (`reader_candidates`), and only
+candidates acquire it.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 
 
 class ReaderElection:
-    """Holds at most one reader lease, and runs the store watch while it does."""
+    """Holds at most one reader lease, and watches the store while it does."""
 
     def __init__(
         self,
         node_id: NodeId,
         replica: ConfigurationReplica,
-        chance: random.Random,
+        rng: random.Random,
         request_ids: Iterator[int],
         *,
         reader_count: int = 3,
@@ -46,10 +46,10 @@
         self._node_id = node_id
         self._replica = replica
         self._leases = [
-            ReaderLease(number, node_id, lease_duration, chance, request_ids)
+            ReaderLease(number, node_id, lease_duration, rng, request_ids)
             for number in range(reader_count)
         ]
-        self._watch = StoreWatch(replica, chance, request_ids)
+        self._watch = StoreWatch(replica, rng, request_ids)
         self._leaving = False
 
     @property
@@ -58,7 +58,7 @@
         return self._watch.active
 
     def update_members(self, members: Sequence[Member], now: float) -> list[Command]:
-        """Learn who may hold a lease; a node that leaves gives its own back."""
+        """Update the candidate ranks; a leaving node releases its lease."""
         own = [item.state for item in members if item.machine.node_id == self._node_id]
         self._leaving = any(state >= MemberState.LEAVING for state in own)
         for lease in self._leases:
@@ -66,7 +66,7 @@
         return self._release(now) if self._leaving else []
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take an answer of the store; the expiry of the lease is looked at first."""
+        """Handle an answer of the store, after checking the lease for expiry."""
         commands = self._check_expiry(now)
         for lease in self._leases:
             commands += lease.handle(event, now)
@@ -74,11 +74,11 @@
         return commands + self._follow_leases()
 
     def handle_message(self, sender: NodeId, message: Message, now: float) -> list[Command]:
-        """Only look at the lease's expiry: the election sends no messages between nodes."""
+        """Check the lease for expiry; the election itself uses no messages between nodes."""
         return self._check_expiry(now)
 
     def poll(self, now: float) -> list[Command]:
-        """Do whatever is due; the expiry of the lease is looked at first."""
+        """Run whatever is due, after checking the lease for expiry."""
         commands = self._check_expiry(now)
         busy = [lease for lease in self._leases if lease.state not in {"candidate", LAPSED}]
         for lease in self._leases:
@@ -90,7 +90,7 @@
         return commands + self._follow_leases()
 
     def next_timer(self) -> float | None:
-        """Return when `poll` has something to do."""
+        """Return when `poll` is due next."""
         busy = [lease for lease in self._leases if lease.state not in {"candidate", LAPSED}]
         idle = [] if self._leaving else self._leases
         timers = [lease.next_timer() for lease in busy or idle]
@@ -112,7 +112,7 @@
         held = [lease for lease in self._leases if lease.state == HOLDING]
         if held and not self._watch.active:
             lease = held[0]
-            self._replica.directory.learn(lease.number, self._node_id, lease.acquired_revision)
+            self._replica.directory.record(lease.number, self._node_id, lease.acquired_revision)
             return self._watch.start(lease.number)
         if not held and self._watch.active:
             return self._watch.stop()
--- a/src/beamloom/replication/store_watch.py
+++ b/src/beamloom/replication/store_watch.py
@@ -1,4 +1,4 @@
-"""A reader's view of the store: list once when needed, then watch from the applied revision."""
+"""Reads the store for a reader: one listing if needed, then a watch."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from beamloom.replication.configuration_replica import ConfigurationReplica
 
 LISTING_CHECK_INTERVAL = 0.25
-"""Seconds between looks whether a listing, or the steps up to it, has been applied."""
+"""Seconds between checks whether a listing, or the changes up to it, have been applied."""
 
 
 class StoreWatch:
     """Feeds the replica from the store while this node is a reader.
 
-    Answers to a request that was given up are ignored. Each change that is passed on names the
-    revision that it follows, so a late one states a true step of the store's order, no more.
+    Answers to abandoned requests are ignored. A change that peers receive late does no harm, as it
+    names the revision that it follows.
     """
 
     def __init__(
-        self, replica: ConfigurationReplica, chance: random.Random, request_ids: Iterator[int]
+        self, replica: ConfigurationReplica, rng: random.Random, request_ids: Iterator[int]
     ) -> None:
         self._replica = replica
         self._request_ids = request_ids
-        self._backoff = Backoff(chance)
+        self._backoff = Backoff(rng)
         self._request_id: int | None = None
         self._retry_at: float | None = None
         self._lease_number = 0
@@ -38,11 +38,11 @@
 
     @property
     def active(self) -> bool:
-        """Whether the watch is running or about to be tried again."""
+        """Whether a request is running or scheduled."""
         return self._request_id is not None or self._retry_at is not None
 
     def start(self, lease_number: int) -> list[Command]:
-        """Begin, from what the replica has."""
+        """Start from the replica's applied revision, or with a listing if it is empty."""
         self._lease_number = lease_number
         self._must_list = self._replica.applied_revision == 0
         self._awaited_revision = 0
@@ -50,12 +50,12 @@
         return self._request()
 
     def stop(self) -> list[Command]:
-        """End the watch; what still arrives from it is ignored."""
+        """End the watch; answers that still arrive are ignored."""
         stopped, self._request_id, self._retry_at = self._request_id, None, None
         return [] if stopped is None else [StopWatch(stopped)]
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take an answer of the store, if it is to the present request."""
+        """Handle the store's answer to the current request; other events are ignored."""
         if self._request_id is None or getattr(event, "request_id", None) != self._request_id:
             return []
         match event:
@@ -68,7 +68,7 @@
         return []
 
     def poll(self, now: float) -> list[Command]:
-        """Try again when the pause after a failure is over."""
+        """Send the next request if it is due and no listing is waiting to be applied."""
         if self._retry_at is None or now < self._retry_at:
             return []
         if self._awaited_revision and self._replica.awaits_listing:
@@ -78,7 +78,7 @@
         return self._request()
 
     def next_timer(self) -> float | None:
-        """Return when to try again."""
+        """Return when `poll` is due next."""
         return self._retry_at
 
     def _request(self) -> list[Command]:
