--- a/src/beamloom/replication/budget.py
+++ b/src/beamloom/replication/budget.py
@@ -1,4 +1,4 @@
-"""Control budget: delays, packs and counts everything a node sends to other nodes.
+"""Control budget: queues, packs and counts the messages that a node sends to other nodes.
 
 A token bucket (RFC 2697, single rate) whose burst is part of the allowance of a window, so that no
 window of `WINDOW_SECONDS`, wherever it begins, carries more than the configured average.
@@ -30,14 +30,15 @@
     Priority.STATUS: 0.4,
     Priority.CACHE: 0.5,
 }
-"""Share of the burst that a priority leaves to those above it, beyond what it is promised."""
+"""Share of the burst that a priority leaves to higher ones; its guaranteed share is exempt."""
 CACHE_QUEUE_BYTES = 16_384
 ROUNDING_BYTES = 1e-3
+"""Tolerance for floating-point rounding."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingBatch:
-    """Messages for one destination that fit one datagram and are paid for."""
+    """Messages for one destination that fit one datagram and have been charged."""
 
     destination: Destination
     messages: tuple[Message, ...]
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PriorityCounters:
-    """What one priority has sent and waited for; sizes are in bytes, delays in seconds."""
+    """Messages sent and delayed in one priority; sizes are in bytes, delays in seconds."""
 
     queued_messages: int
     queued_bytes: int
@@ -149,9 +150,10 @@
 class ControlBudget:
     """Queues messages by priority and releases them within `bytes_per_second`.
 
-    The lowest `Priority` goes first; every other priority that has something to send is promised
-    `GUARANTEED_SHARE` of the rate, so that none starves. Identical messages that wait for the same
-    destination are sent once. Only `Priority.CACHE` is ever dropped, and counted.
+    The lowest `Priority` goes first; every other priority with queued messages is guaranteed
+    `GUARANTEED_SHARE` of the rate, so that none starves. Identical messages queued for the same
+    destination are sent once. Messages too long for a datagram are discarded and counted, as are
+    those of `Priority.CACHE` that exceed `CACHE_QUEUE_BYTES`.
     """
 
     def __init__(self, node_id: NodeId, now: float, bytes_per_second: int = 4096) -> None:
@@ -165,7 +167,7 @@
         self._tokens = self._burst
         self._refilled_at = now
         self._overhead = ENVELOPE_FIXED_SIZE + len(node_id.encode()) + 2
-        self._room = MAXIMUM_DATAGRAM_SIZE - self._overhead
+        self._payload_limit = MAXIMUM_DATAGRAM_SIZE - self._overhead
         self._queues = {priority: _PriorityQueue() for priority in Priority}
         largest = MAXIMUM_DATAGRAM_SIZE + NETWORK_HEADER_SIZE
         self._reserves = {
@@ -177,10 +179,10 @@
         self._oversized = 0
 
     def submit(self, command: SendMessage, now: float) -> None:
-        """Queue one message; `release` decides when it goes."""
+        """Queue one message; `release` decides when it is sent."""
         message = command.message
         encoded = cbor2.dumps(message_to_list(message))
-        if len(encoded) > self._room:
+        if len(encoded) > self._payload_limit:
             self._oversized += 1
             return
         queue = self._queues[message.PRIORITY]
@@ -191,21 +193,21 @@
         queue.add(command.destination, encoded, _Queued(message, len(encoded), now))
 
     def release(self, now: float) -> list[OutgoingBatch]:
-        """Return the datagrams that may leave now, in order."""
+        """Return the datagrams that may be sent now, in order."""
         self._refill(now)
         batches: list[OutgoingBatch] = []
         while (priority := self._next_priority()) is not None:
-            if self._needed(priority) > self._tokens + ROUNDING_BYTES:
+            if self._required_tokens(priority) > self._tokens + ROUNDING_BYTES:
                 break
             batches.append(self._pack(priority, now))
         return batches
 
     def next_timer(self) -> float | None:
-        """Return when the next datagram is paid for; None when nothing waits."""
+        """Return when the tokens suffice for the next datagram; None if nothing is queued."""
         priority = self._next_priority()
         if priority is None:
             return None
-        missing = self._needed(priority) - self._tokens
+        missing = self._required_tokens(priority) - self._tokens
         return self._refilled_at + max(0.0, missing) / self._rate
 
     def snapshot(self) -> BudgetSnapshot:
@@ -226,9 +228,9 @@
         for priority, queue in self._queues.items():
             if priority is Priority.MEMBERSHIP:
                 continue
-            promised = queue.guaranteed_bytes + earned * GUARANTEED_SHARE
+            guaranteed = queue.guaranteed_bytes + earned * GUARANTEED_SHARE
             limit = float(MAXIMUM_DATAGRAM_SIZE) if queue.queued_messages else 0.0
-            queue.guaranteed_bytes = min(limit, promised)
+            queue.guaranteed_bytes = min(limit, guaranteed)
 
     def _next_priority(self) -> Priority | None:
         waiting = [item for item, queue in self._queues.items() if queue.queued_messages]
@@ -238,23 +240,23 @@
                 return priority
         return waiting[0] if waiting else None
 
-    def _needed(self, priority: Priority) -> float:
-        """Return the tokens that must be there before a priority's first message may go."""
+    def _required_tokens(self, priority: Priority) -> float:
+        """Return the tokens required before a priority's first message may be sent."""
         queue = self._queues[priority]
         size = queue.first()[1].size
-        promised = queue.guaranteed_bytes >= size
-        reserve = 0.0 if promised else self._reserves.get(priority, 0.0)
+        guaranteed = queue.guaranteed_bytes >= size
+        reserve = 0.0 if guaranteed else self._reserves.get(priority, 0.0)
         return size + self._overhead + NETWORK_HEADER_SIZE + reserve
 
     def _pack(self, priority: Priority, now: float) -> OutgoingBatch:
         destination, _ = self._queues[priority].first()
         header = self._overhead + NETWORK_HEADER_SIZE
-        room = min(float(self._room), self._tokens + ROUNDING_BYTES - header)
+        room = min(float(self._payload_limit), self._tokens + ROUNDING_BYTES - header)
         taken = self._queues[priority].take(destination, room, now)
         used = sum(item.size for item in taken)
         higher_bytes = 0
         for other, queue in self._queues.items():
-            spare = min(self._room - used, self._tokens - header - used - higher_bytes)
+            spare = min(self._payload_limit - used, self._tokens - header - used - higher_bytes)
             if other is not priority and spare > 0:
                 more = queue.take(destination, spare, now)
                 used += sum(item.size for item in more)
--- a/src/beamloom/replication/fleet_share.py
+++ b/src/beamloom/replication/fleet_share.py
@@ -1,8 +1,8 @@
-"""Which few nodes of a fleet do something, agreed on without a message.
+"""Assigns keys to a few nodes of the fleet without exchanging messages.
 
-Weighted rendezvous hashing (Thaler and Ravishankar 1998; Schindelhauer and Schomaker 2005): of the
-hosts that a node knows, those with the highest score of host and key, which rises with what the
-host's machine can bear. Nodes whose views of the fleet differ may name different ones.
+Weighted rendezvous hashing (Thaler and Ravishankar 1998; Schindelhauer and Schomaker 2005): a key
+belongs to the known hosts with the highest score of host and key, which rises with the host's
+capacity. Nodes that know different hosts may assign a key differently.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from beamloom.replication.peer_table import PeerTable
 
 SETTLING_SECONDS = 3.0
-"""Who has met its peers more lately than that knows only some of them: it counts itself out."""
-KEPT_SECONDS = 1.0
-"""For how long an answer is kept; hosts come and go more seldom."""
-MOST_KEPT = 4096
-"""Answers; as many as a service of the design target has backends."""
+"""A node that joined more recently knows only some of its peers, and no key belongs to it."""
+CACHE_SECONDS = 1.0
+"""How long a result is reused before it is computed again."""
+MAXIMUM_CACHED = 4096
+"""Number of results at which the cache is cleared."""
 DRAWS_TO_CHANGE = 2
-"""So many draws in a row, KEPT_SECONDS apart, must differ before a key changes hands: a peer that
-is unheard for a moment moves nothing. It is below the shortest contact bound (4 s).
+"""How many results in a row, `CACHE_SECONDS` apart, must differ before a key is reassigned, so that
+a peer that is missing for a moment changes nothing.
 """
 _DIGEST_BYTES = 8
 _KEY_BYTES = 8
 _FRACTION_BITS = 52
-"""Of a hash, as many as a float holds exactly (IEEE 754)."""
+"""Bits of a hash that a float represents exactly (IEEE 754)."""
 _SPARE_BITS = 8 * _DIGEST_BYTES - _FRACTION_BITS
-"""Those of the hash that are left over."""
+"""Low bits of a hash that are discarded."""
 
 
 class FleetShare:
-    """Whether this node is one of the `count` that a key belongs to.
+    """Determines whether this node is one of the `count` nodes that a key belongs to.
 
-    `joined_at` is when this node began to meet its peers, in seconds of the steady clock. With
-    `sheds` set it holds nothing.
+    `joined_at` is when this node began to contact its peers, in seconds of the monotonic clock.
+    While `sheds` is set, no key belongs to it.
     """
 
     def __init__(
@@ -46,31 +46,33 @@
         self.peers = peers
         self._count = count
         self._joined_at = joined_at
-        self._kept: dict[int, _Draw] = {}
+        self._cache: dict[int, _CachedResult] = {}
 
     def holds(self, key: int, now: float) -> bool:
-        """Return whether a key (64 bits) belongs to this node now."""
+        """Return whether a 64-bit key belongs to this node now."""
         if self.sheds or now - self._joined_at < SETTLING_SECONDS:
             return False
-        kept = self._kept.get(key)
-        if kept is not None and now - kept.at < KEPT_SECONDS:
-            return kept.answer
-        if len(self._kept) >= MOST_KEPT:
-            self._kept.clear()
-        drawn = self._next_draw(kept, self._draw(key), now)
-        self._kept[key] = drawn
-        return drawn.answer
-
-    def _next_draw(self, kept: _Draw | None, is_holder: bool, now: float) -> _Draw:
-        """Return what holds from now on; an answer of long ago binds nobody."""
-        is_recent = kept is not None and now - kept.at < SETTLING_SECONDS
-        if kept is None or not is_recent or is_holder == kept.answer:
-            return _Draw(now, is_holder, 0)
-        if kept.differing + 1 >= DRAWS_TO_CHANGE:
-            return _Draw(now, is_holder, 0)
-        return _Draw(now, kept.answer, kept.differing + 1)
-
-    def _draw(self, key: int) -> bool:
+        cached = self._cache.get(key)
+        if cached is not None and now - cached.checked_at < CACHE_SECONDS:
+            return cached.is_holder
+        if len(self._cache) >= MAXIMUM_CACHED:
+            self._cache.clear()
+        result = self._debounced(cached, self._is_among_highest(key), now)
+        self._cache[key] = result
+        return result.is_holder
+
+    def _debounced(
+        self, cached: _CachedResult | None, is_holder: bool, now: float
+    ) -> _CachedResult:
+        """Return the result to use; a recent one is replaced only after repeated differences."""
+        is_recent = cached is not None and now - cached.checked_at < SETTLING_SECONDS
+        if cached is None or not is_recent or is_holder == cached.is_holder:
+            return _CachedResult(now, is_holder, 0)
+        if cached.differing_count + 1 >= DRAWS_TO_CHANGE:
+            return _CachedResult(now, is_holder, 0)
+        return _CachedResult(now, cached.is_holder, cached.differing_count + 1)
+
+    def _is_among_highest(self, key: int) -> bool:
         own = self._score(self.peers.host, key)
         higher = 0
         for host in self.peers.hosts():
@@ -84,16 +86,16 @@
         return weight / -math.log(_fraction(host, key))
 
 
-class _Draw(NamedTuple):
-    """What was drawn for a key, when, and how many draws since would have changed it."""
+class _CachedResult(NamedTuple):
+    """The result in use for a key, when it was last checked, and how many differed since."""
 
-    at: float
-    answer: bool
-    differing: int
+    checked_at: float
+    is_holder: bool
+    differing_count: int
 
 
 def _fraction(host: str, key: int) -> float:
-    """Return the hash of host and key as a fraction between 0 and 1, neither of them."""
+    """Return the hash of host and key as a fraction strictly between 0 and 1."""
     digest = blake2b(
         host.encode(), digest_size=_DIGEST_BYTES, key=key.to_bytes(_KEY_BYTES, "big")
     ).digest()
--- a/src/beamloom/replication/fleet_status.py
+++ b/src/beamloom/replication/fleet_status.py
@@ -1,8 +1,9 @@
-"""Tells which revision is in force where, without a controller and at next to no cost at rest.
+"""Reports which nodes have a revision in force, without a controller and with little traffic.
 
-A node reports to the aggregator of its group once per change. Whoever is asked by an operator
-asks every aggregator; an aggregator asks the members that it lacks a report of. A member counts as
-in force only by its own word, so a lost message can only make the answer too low.
+A node reports its revision to the aggregator of its group after a change, and about once a minute.
+To answer an operator's query a node asks the aggregators of all members that are not yet known to
+have the revision; these request a report from each such member. A member counts as in force only by
+its own report, so a lost message can only make the result too low.
 """
 
 from __future__ import annotations
@@ -25,17 +26,18 @@
 
 REPORT_DELAY = 0.3
 REPORT_REFRESH = 60.0
-ASK_AGAIN = 0.25
+QUERY_RETRY_INTERVAL = 0.25
 MAXIMUM_ROUNDS = 16
 NAMES_PER_MESSAGE = 24
 
 
 @dataclass(frozen=True, slots=True)
 class InForceReport:
-    """How far a revision has come.
+    """Where a revision is in force.
 
-    `count_known` members have said which revision they have; `not_in_force` names every member
-    that has not said it has this one, heard from or not. `as_of` is when the last answer came.
+    `count_known` members have reported their revision. `not_in_force` names every member that has
+    not reported this revision or a later one. `as_of` is when the last answer arrived, or the
+    query began.
     """
 
     count_in_force: int
@@ -56,11 +58,11 @@
 
 
 @dataclass(slots=True)
-class _Question:
-    """An operator's question that this node is finding the answer to."""
+class _Query:
+    """An operator's query in progress."""
 
     revision: int
-    asked_at: float
+    started_at: float
     in_force: set[NodeId]
     behind: set[NodeId]
     as_of: float
@@ -68,61 +70,61 @@
 
 
 class FleetStatus:
-    """One node's part in the aggregation: it reports, aggregates for a group, and may ask."""
+    """One node's part in fleet status: it reports, aggregates for a group, and runs queries."""
 
     def __init__(
         self,
         node_id: NodeId,
         applied_revision: Callable[[], int],
-        chance: random.Random,
+        rng: random.Random,
         now: float,
     ) -> None:
         self._node_id = node_id
         self._applied_revision = applied_revision
-        self._chance = chance
+        self._rng = rng
         self._groups = StatusGroups(node_id)
         self._reports: dict[NodeId, int] = {}
         self._reported = 0
         self._reported_to = node_id
-        self._report_at = now + chance.random() * REPORT_REFRESH
-        self._question: _Question | None = None
-        self._question_count = 0
+        self._report_at = now + rng.random() * REPORT_REFRESH
+        self._query: _Query | None = None
+        self._query_count = 0
 
     def update_members(self, members: Sequence[Member], now: float) -> None:
-        """Learn who is a member."""
+        """Update the groups from the member list."""
         self._groups.update(members)
         kept = self._groups.members
         self._reports = {name: item for name, item in self._reports.items() if name in kept}
         if self._groups.own_aggregator != self._reported_to:
-            self._report_soon(now)
+            self._schedule_report(now)
 
     def revision_applied(self, now: float) -> None:
-        """Learn that the applied revision rose."""
-        self._report_soon(now)
+        """Schedule a report, as the applied revision has risen."""
+        self._schedule_report(now)
 
     def ask(self, revision: int, now: float) -> list[Command]:
-        """Begin to find out where `revision` is in force; `in_force` tells what is known yet."""
-        self._question = _Question(revision, now, set(), set(), now)
-        self._question_count += 1
-        return self._next_round(self._question, now)
+        """Start a query for `revision`; `in_force` returns what is known so far."""
+        self._query = _Query(revision, now, set(), set(), now)
+        self._query_count += 1
+        return self._next_round(self._query, now)
 
     def in_force(self, revision: int) -> InForceReport:
-        """Return what is known of a revision, by what members themselves said."""
+        """Return where a revision is in force, according to the members' own reports."""
         members = self._groups.members
-        question = self._question
-        known = question is not None and question.revision == revision
-        in_force = set(question.in_force) if question is not None and known else set()
-        behind = set(question.behind) if question is not None and known else set()
+        query = self._query
+        is_current = query is not None and query.revision == revision
+        in_force = set(query.in_force) if query is not None and is_current else set()
+        behind = set(query.behind) if query is not None and is_current else set()
         own = in_force if self._applied_revision() >= revision else behind
         own.add(self._node_id)
         in_force &= members
         missing = tuple(sorted(members - in_force))
-        as_of = question.as_of if question is not None and known else 0.0
-        heard = len((behind | in_force) & members)
-        return InForceReport(len(in_force), heard, missing, as_of)
+        as_of = query.as_of if query is not None and is_current else 0.0
+        known_count = len((behind | in_force) & members)
+        return InForceReport(len(in_force), known_count, missing, as_of)
 
     def handle_message(self, sender: NodeId, message: Message, now: float) -> list[Command]:
-        """Take one message of this component; others are ignored."""
+        """Handle one message of this component; others are ignored."""
         match message:
             case RevisionReported():
                 self._reports[sender] = message.applied_revision
@@ -131,24 +133,24 @@
             case GroupStatusRequested():
                 return self._group_status(sender, message.revision)
             case GroupStatusReported():
-                self._take_group_status(message, now)
+                self._merge_group_status(message, now)
         return []
 
     def poll(self, now: float) -> list[Command]:
-        """Do whatever is due."""
+        """Run whatever is due."""
         commands: list[Command] = []
         if now >= self._report_at:
             commands += self._report(now)
-        question = self._question
-        if question is not None and now >= self._ask_again_at(question):
-            commands += self._next_round(question, now)
+        query = self._query
+        if query is not None and now >= self._next_round_at(query):
+            commands += self._next_round(query, now)
         return commands
 
     def next_timer(self) -> float | None:
-        """Return when `poll` has something to do."""
-        if self._question is None or self._answered(self._question):
+        """Return when `poll` is due next."""
+        if self._query is None or self._is_complete(self._query):
             return self._report_at
-        return min(self._report_at, self._ask_again_at(self._question))
+        return min(self._report_at, self._next_round_at(self._query))
 
     def snapshot(self) -> FleetStatusSnapshot:
         """Return counters and state for status and explanations."""
@@ -157,14 +159,14 @@
             self._groups.own_aggregator,
             len(self._groups.members_aggregated_here()),
             len(self._reports),
-            self._question_count,
+            self._query_count,
         )
 
-    def _report_soon(self, now: float) -> None:
-        self._report_at = min(self._report_at, now + self._chance.random() * REPORT_DELAY)
+    def _schedule_report(self, now: float) -> None:
+        self._report_at = min(self._report_at, now + self._rng.random() * REPORT_DELAY)
 
     def _report(self, now: float) -> list[Command]:
-        self._report_at = now + REPORT_REFRESH * self._chance.uniform(0.8, 1.2)
+        self._report_at = now + REPORT_REFRESH * self._rng.uniform(0.8, 1.2)
         self._reported = self._applied_revision()
         self._reported_to = self._groups.own_aggregator
         if self._reported_to == self._node_id:
@@ -172,7 +174,7 @@
         return [SendMessage(self._reported_to, RevisionReported(self._reported))]
 
     def _group_status(self, sender: NodeId, revision: int) -> list[Command]:
-        """Answer with what is known, and ask the members that do not have it yet by their word."""
+        """Answer with the known reports, and request new ones from all other members."""
         in_force, behind, others = self._local_status(revision)
         commands: list[Command] = [
             SendMessage(name, RevisionRequested()) for name in (*behind, *others)
@@ -184,7 +186,7 @@
         return commands
 
     def _local_status(self, revision: int) -> tuple[list[NodeId], list[NodeId], list[NodeId]]:
-        """Return the members aggregated here: in force, behind, and never heard from."""
+        """Return the members aggregated here: in force, behind, and without a report."""
         in_force: list[NodeId] = []
         behind: list[NodeId] = []
         unknown: list[NodeId] = []
@@ -197,42 +199,42 @@
                 (unknown if reported is None else behind).append(name)
         return in_force, behind, unknown
 
-    def _take_group_status(self, message: GroupStatusReported, now: float) -> None:
-        question = self._question
-        if question is None or question.revision != message.revision:
+    def _merge_group_status(self, message: GroupStatusReported, now: float) -> None:
+        query = self._query
+        if query is None or query.revision != message.revision:
             return
-        question.in_force.update(NodeId(name) for name in message.in_force)
-        question.behind.update(NodeId(name) for name in message.behind)
-        question.behind -= question.in_force
-        question.as_of = now
+        query.in_force.update(NodeId(name) for name in message.in_force)
+        query.behind.update(NodeId(name) for name in message.behind)
+        query.behind -= query.in_force
+        query.as_of = now
 
-    def _answered(self, question: _Question) -> bool:
-        complete = self._groups.members <= question.in_force | {self._node_id}
-        return complete or question.rounds >= MAXIMUM_ROUNDS
+    def _is_complete(self, query: _Query) -> bool:
+        complete = self._groups.members <= query.in_force | {self._node_id}
+        return complete or query.rounds >= MAXIMUM_ROUNDS
 
-    def _ask_again_at(self, question: _Question) -> float:
-        if self._answered(question):
+    def _next_round_at(self, query: _Query) -> float:
+        if self._is_complete(query):
             return math.inf
-        return question.asked_at + ASK_AGAIN * question.rounds
+        return query.started_at + QUERY_RETRY_INTERVAL * query.rounds
 
-    def _next_round(self, question: _Question, now: float) -> list[Command]:
-        question.rounds += 1
+    def _next_round(self, query: _Query, now: float) -> list[Command]:
+        query.rounds += 1
         commands: list[Command] = []
-        for aggregator in sorted(self._groups.aggregators_of(self._missing(question))):
+        for aggregator in sorted(self._groups.aggregators_of(self._missing(query))):
             if aggregator == self._node_id:
-                commands += self._answer_self(question, now)
+                commands += self._query_own_groups(query, now)
             else:
-                commands.append(SendMessage(aggregator, GroupStatusRequested(question.revision)))
+                commands.append(SendMessage(aggregator, GroupStatusRequested(query.revision)))
         return commands
 
-    def _answer_self(self, question: _Question, now: float) -> list[Command]:
+    def _query_own_groups(self, query: _Query, now: float) -> list[Command]:
         commands: list[Command] = []
-        for command in self._group_status(self._node_id, question.revision):
+        for command in self._group_status(self._node_id, query.revision):
             if isinstance(command, SendMessage) and command.destination == self._node_id:
                 self.handle_message(self._node_id, command.message, now)
             else:
                 commands.append(command)
         return commands
 
-    def _missing(self, question: _Question) -> frozenset[NodeId]:
-        return self._groups.members - question.in_force - {self._node_id}
+    def _missing(self, query: _Query) -> frozenset[NodeId]:
+        return self._groups.members - query.in_force - {self._node_id}
--- a/src/beamloom/replication/status_groups.py
+++ b/src/beamloom/replication/status_groups.py
@@ -16,8 +16,8 @@
 class StatusGroups:
     """Groups are arcs of a hash ring; the first member at or after an arc's start aggregates it.
 
-    Nodes whose member lists differ may disagree about an aggregator for a while: a report then
-    goes astray, and its node counts as not in force until it is asked.
+    Nodes with different member lists may choose different aggregators: a report then goes to the
+    wrong node, and its sender counts as not in force until the right one requests a report.
     """
 
     def __init__(self, node_id: NodeId) -> None:
@@ -29,7 +29,7 @@
         self.update(())
 
     def update(self, members: Sequence[Member]) -> None:
-        """Learn who is a member; this node always counts as one."""
+        """Update the groups from the member list; this node always counts as a member."""
         names = {item.machine.node_id for item in members if item.answers} | {self._node_id}
         if names == self.members:
             return
@@ -50,7 +50,7 @@
         return self._aggregator(self._group_of(self._hashes[self._node_id]))
 
     def aggregators_of(self, names: Iterable[NodeId]) -> set[NodeId]:
-        """Return the aggregators of the groups that these members are in."""
+        """Return the aggregators of the groups of these members."""
         groups = {self._group_of(self._hashes[name]) for name in names}
         return {self._aggregator(group) for group in groups}
 
--- a/tests/replication_fleet.py
+++ b/tests/replication_fleet.py
@@ -30,7 +30,7 @@
 
 
 class Store:
-    """The platform's object API: one order of revisions, conditional writes, watches."""
+    """The platform's object API in memory: revisions, conditional writes and watches."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -56,7 +56,7 @@
         return self.revision
 
     def at(self, revision: int) -> dict[str, ev.StoredObject]:
-        """The replicated objects as of a revision: the oracle."""
+        """Return the replicated objects as of a revision, computed from the history."""
         state: dict[str, ev.StoredObject] = {}
         for stored in self.history:
             if stored.revision <= revision and is_replicated(stored.key):
@@ -66,7 +66,7 @@
         return state
 
     def compact(self) -> None:
-        """Forget old changes and end all watches, as after a restart of the store."""
+        """Make old revisions unavailable to watches and end all watches, as a restart does."""
         self.oldest = self.revision
         for (_, request), deliver in list(self.watches.items()):
             deliver(ev.StoreFailed(request, "compacted", gone=True))
@@ -132,7 +132,7 @@
     paused: bool = False
     highest: int = 0
     cpu: float = 0.0
-    held_back: list[Callable[[], None]] = field(default_factory=list)
+    deferred: list[Callable[[], None]] = field(default_factory=list)
 
 
 class Fleet:
@@ -154,7 +154,7 @@
         self.delays = delays
         self.lease_duration = lease_duration
         self.measure_cpu = measure_cpu
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.store = Store()
         self.cut: set[NodeId] = set()
         self.store_cut: set[NodeId] = set()
@@ -170,16 +170,16 @@
         self.announce()
 
     def add(self, node_id: NodeId, number: int = 0) -> Node:
-        chance = random.Random(f"{node_id}/{self.chance.random()}")
-        replica = ConfigurationReplica(node_id, chance, self.now)
+        rng = random.Random(f"{node_id}/{self.rng.random()}")
+        replica = ConfigurationReplica(node_id, rng, self.now)
         node = Node(
             node_id,
             self._zones[number % len(self._zones)],
             replica,
             ReaderElection(
-                node_id, replica, chance, itertools.count(1), lease_duration=self.lease_duration
+                node_id, replica, rng, itertools.count(1), lease_duration=self.lease_duration
             ),
-            FleetStatus(node_id, lambda: replica.applied_revision, chance, self.now),
+            FleetStatus(node_id, lambda: replica.applied_revision, rng, self.now),
             ControlBudget(node_id, self.now),
         )
         self.nodes[node_id] = node
@@ -225,14 +225,14 @@
         if self.nodes.get(node.node_id) is not node:
             return
         if node.paused:
-            node.held_back.append(lambda: self.do(node, step))
+            node.deferred.append(lambda: self.do(node, step))
             return
         started = time.process_time() if self.measure_cpu else 0.0
         pending = step()
         pending += node.replica.poll(self.now)
         pending += node.status.poll(self.now)
         pending += node.election.poll(self.now)
-        self._note_revision(node)
+        self._record_revision(node)
         store_commands: list[StoreCommand] = []
         for command in pending:
             if isinstance(command, cmd.SendMessage):
@@ -258,7 +258,7 @@
             KEYS, node.node_id, next(node.sequence), int(self.now * 1000), messages
         )
 
-    def _note_revision(self, node: Node) -> None:
+    def _record_revision(self, node: Node) -> None:
         applied = node.replica.applied_revision
         if applied < node.highest:
             raise AssertionError(f"{node.node_id} fell from {node.highest} to {applied}")
@@ -272,13 +272,13 @@
     def _transmit(self, node: Node, destination: Destination, data: bytes) -> None:
         self.sent[node.node_id].append((self.now, len(data) + NETWORK_HEADER_SIZE))
         target = self.nodes.get(destination)
-        if target is None or self.chance.random() < self.loss:
+        if target is None or self.rng.random() < self.loss:
             return
         if (node.node_id in self.cut) != (destination in self.cut):
             return
         near, far = self.delays
         delay = near if node.zone.region == target.zone.region else far
-        self.schedule(delay * self.chance.uniform(0.9, 1.3), lambda: self._arrive(target, data))
+        self.schedule(delay * self.rng.uniform(0.9, 1.3), lambda: self._arrive(target, data))
 
     def _arrive(self, target: Node, data: bytes) -> None:
         self.do(target, lambda: self._receive(target, data))
@@ -327,7 +327,7 @@
     def resume(self, node_id: NodeId) -> None:
         node = self.nodes[node_id]
         node.paused = False
-        held, node.held_back = node.held_back, []
+        held, node.deferred = node.deferred, []
         for action in held:
             action()
 
@@ -342,7 +342,7 @@
         )
 
     def check_states(self) -> None:
-        """Compare every node with the oracle at the revision that the node applied."""
+        """Compare every node with the store at the revision that the node applied."""
         known: dict[int, dict[str, ev.StoredObject]] = {}
         for name, node in self.nodes.items():
             revision = node.replica.applied_revision
@@ -351,6 +351,6 @@
                 raise AssertionError(f"{name} differs from the store at revision {revision}")
 
     def write_tracked(self, key: str, value: dict[str, Any] | None) -> int:
-        """Write to the store and note when each node has it in force."""
+        """Write to the store and record when each node has the change in force."""
         self.in_force_at[self.store.revision + 1] = {}
         return self.store.write(key, value)
--- a/tests/unit/test_backoff.py
+++ b/tests/unit/test_backoff.py
@@ -6,13 +6,13 @@
 
 
 class BackoffTest(unittest.TestCase):
-    def test_the_longest_pause_leaves_time_to_put_a_change_in_force(self) -> None:
+    def test_longest_delay_is_below_the_time_to_put_a_change_in_force(self) -> None:
         backoff = Backoff(random.Random(1))
         delays = [backoff.next_delay() for _ in range(200)]
         self.assertLess(max(delays), IN_FORCE_LIMIT)
         self.assertGreaterEqual(min(delays[10:]), MAXIMUM_DELAY / 2)
 
-    def test_a_success_starts_from_the_shortest_pause_again(self) -> None:
+    def test_reset_restarts_from_the_shortest_delay(self) -> None:
         backoff = Backoff(random.Random(1))
         for _ in range(10):
             backoff.next_delay()
--- a/tests/unit/test_control_budget.py
+++ b/tests/unit/test_control_budget.py
@@ -1,4 +1,4 @@
-"""The control budget holds over any window, starves nobody and counts what it delays."""
+"""The control budget bounds the bytes of every window and starves no priority."""
 
 import unittest
 from dataclasses import dataclass
@@ -39,7 +39,7 @@
 
 
 def run_to(budget: ControlBudget, start: float, end: float) -> list[tuple[float, object]]:
-    """Release whenever the budget asks for it; return each batch with its time."""
+    """Release whenever the budget's timer is due; return each batch with its time."""
     sent: list[tuple[float, object]] = []
     now = start
     while now <= end:
@@ -52,7 +52,7 @@
 
 
 class ReserveTest(unittest.TestCase):
-    def test_a_flood_of_low_priority_never_delays_membership_or_configuration(self) -> None:
+    def test_flood_of_low_priorities_never_delays_membership_or_configuration(self) -> None:
         budget = ControlBudget(NODE, 0.0)
         number, now = 0, 0.0
         while now < 30.0:
@@ -110,7 +110,7 @@
         membership = [batch for _, batch in sent if batch.destination == "a"]
         self.assertGreater(len(membership), len(sent) * 0.8)
 
-    def test_only_cache_is_dropped_and_identical_messages_go_once(self) -> None:
+    def test_only_cache_is_dropped_and_identical_messages_are_sent_once(self) -> None:
         budget = ControlBudget(NODE, 0.0)
         for number in range(40):
             budget.submit(filler(Priority.CACHE, number, 1000), 0.0)
--- a/tests/unit/views/test_capacity.py
+++ b/tests/unit/views/test_capacity.py
@@ -1,4 +1,4 @@
-"""What machines can do, as settings and peers tell it: absurd and missing values among it."""
+"""Machine capacities from settings and peers, including missing and invalid values."""
 
 import math
 import random
@@ -17,20 +17,20 @@
 
 
 class CheckTest(unittest.TestCase):
-    def test_what_is_absurd_counts_as_the_least_and_is_named(self) -> None:
-        for odd in (0, -1, math.nan, math.inf, 1e9, None, "many", True, 10**400):
-            with self.subTest(cores=odd):
-                checked = check_capacity((odd, *LARGE[1:]))
+    def test_invalid_values_are_reported_and_replaced_by_the_minimum(self) -> None:
+        for invalid in (0, -1, math.nan, math.inf, 1e9, None, "many", True, 10**400):
+            with self.subTest(cores=invalid):
+                checked = check_capacity((invalid, *LARGE[1:]))
                 self.assertEqual(checked.capacity, LARGE._replace(cores=LEAST.cores))
                 self.assertEqual(checked.unusable, ("cores",))
         self.assertEqual(check_capacity(()).unusable, Capacity._fields)
 
-    def test_the_wire_keeps_what_matters(self) -> None:
+    def test_wire_format_round_trips_and_invalid_values_give_the_minimum(self) -> None:
         self.assertEqual(from_wire(to_wire(SMALL)), (SMALL, ()))
-        for told in ([10**400, 0, "x", math.nan], 7, None, {}, [[]]):
-            self.assertEqual(from_wire(told).capacity, LEAST)
+        for invalid in ([10**400, 0, "x", math.nan], 7, None, {}, [[]]):
+            self.assertEqual(from_wire(invalid).capacity, LEAST)
 
-    def test_a_doubling_of_both_is_a_rank(self) -> None:
+    def test_rank_and_weight_follow_the_capacity(self) -> None:
         self.assertEqual(LEAST.rank, 9)
         self.assertEqual(SMALL.rank, 9)
         self.assertEqual(LARGE.rank, 5)
@@ -43,23 +43,23 @@
         return settings.capacity, settings.unusable_limits
 
     def test_limits_are_read(self) -> None:
-        told = "cpu-share = 0.5\ncores = 4\nlink-mbps = 100\nmemory-mb = 300\nmax-fds = 4100"
-        self.assertEqual(self.limits(told), (Capacity(2.0, 100.0, 300.0, 4100.0), ()))
+        limits = "cpu-share = 0.5\ncores = 4\nlink-mbps = 100\nmemory-mb = 300\nmax-fds = 4100"
+        self.assertEqual(self.limits(limits), (Capacity(2.0, 100.0, 300.0, 4100.0), ()))
 
-    def test_a_missing_or_absurd_limit_counts_as_the_least(self) -> None:
+    def test_missing_and_invalid_limits_are_replaced_by_the_minimum(self) -> None:
         capacity, unusable = self.limits("cpu-share = 0\nlink-mbps = 1e9\nmemory-mb = nan")
         self.assertEqual(capacity, LEAST)
         self.assertEqual(unusable, Capacity._fields)
 
-    def test_what_is_no_number_is_refused_with_every_fault(self) -> None:
+    def test_all_limits_that_are_no_numbers_are_reported_in_one_error(self) -> None:
         with self.assertRaises(PlatformSettingsError) as caught:
             self.limits('cpu-share = "half"\nmax-fds = []\nmemory-mb = true')
         for name in ("limits.cpu-share", "limits.max-fds", "limits.memory-mb", "correct the file"):
             self.assertIn(name, str(caught.exception))
 
 
-class ToldCapacityTest(unittest.TestCase):
-    def test_peers_hear_it_and_pass_the_rank_on(self) -> None:
+class PeerCapacityTest(unittest.TestCase):
+    def test_capacity_rank_reaches_all_nodes(self) -> None:
         network = Network(12, seed=4)
         hosts = list(network.nodes)
         network.nodes[hosts[0]].exchange.peers.capacity = LARGE
@@ -67,20 +67,20 @@
         for host in hosts[1:]:
             self.assertEqual(network.nodes[host].exchange.peers.rank_of(hosts[0]), LARGE.rank)
 
-    def test_a_peers_absurd_capacity_loses_nothing_else(self) -> None:
+    def test_rest_of_a_digest_with_an_invalid_capacity_is_used(self) -> None:
         node = Node("10.0.0.1", [], random.Random(1))
-        odd: list[tuple[str, tuple[str, ...]]] = []
-        node.exchange.on_unusable_capacity = lambda host, fields: odd.append((host, fields))
-        for told in ([0, 10, 152, 1024], [10**400, 10, 152, 1024]):
-            digest = ViewDigest([], [], [("10.0.0.3", 5)], "west", capacity=told, ranks=["x"])  # type: ignore[list-item]
+        reported: list[tuple[str, tuple[str, ...]]] = []
+        node.exchange.on_unusable_capacity = lambda host, fields: reported.append((host, fields))
+        for values in ([0, 10, 152, 1024], [10**400, 10, 152, 1024]):
+            digest = ViewDigest([], [], [("10.0.0.3", 5)], "west", capacity=values, ranks=["x"])  # type: ignore[list-item]
             node.exchange.handle("10.0.0.2", digest, 1.0)
-        self.assertEqual(odd, [("10.0.0.2", ("cores",))])
+        self.assertEqual(reported, [("10.0.0.2", ("cores",))])
         self.assertEqual(node.exchange.counters["unusable_capacities"], 2)
         self.assertEqual(len(node.exchange.peers), 2)
         capacity = node.exchange.peers.capacity_of("10.0.0.2")
         self.assertEqual(capacity, Capacity(LEAST.cores, 1.0, 152.0, 1024.0))
 
-    def test_a_node_of_an_earlier_version_tells_none(self) -> None:
+    def test_digest_of_an_earlier_version_without_capacity_is_accepted(self) -> None:
         node = Node("10.0.0.1", [], random.Random(1))
         node.exchange.handle("10.0.0.2", ViewDigest([], [], []), 1.0)
         self.assertIsNone(node.exchange.peers.rank_of("10.0.0.2"))
