--- a/src/beamloom/replication/shared_secret.py
+++ b/src/beamloom/replication/shared_secret.py
@@ -1,9 +1,9 @@
-"""Agreeing on one secret of the whole fleet through the store: the first node makes it.
+"""Agreement on the fleet's secret through the store, where the first node creates it; no I/O.
 
-Without I/O. Reading is always last: whoever made the object, what is read is what everybody has. A
-creation whose answer is lost is therefore harmless, and so is one that is done late. The first read
-may be stale, as the secret never changes once it is there; only a store that was restored from an
-older copy loses it, and is given it again.
+The last step is always a read, so all nodes use what the store holds, whichever node created it. A
+creation is therefore harmless if its answer is lost or if it is carried out late. The first read
+may be stale, because the secret does not change once it exists. Only a store that is restored from
+an older copy loses it; nodes then write it back.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class SecretStep(Enum):
-    """What to ask the store next."""
+    """The next request to the store."""
 
     READ_STALE = "read stale"
     READ = "read"
@@ -24,66 +24,64 @@
 
 
 MAKE_AFTER_SECONDS = 0.15
-"""Before a node makes a secret, neighbours that have one, which the store has lost, may tell it:
-many times a datagram's way there and back, and little of a start.
+"""Delay before a node creates a secret, in which peers can supply one that the store has lost. It
+is long compared with a round trip and short compared with a start.
 """
 MAKE_LATER_SECONDS = 1.5
-"""The same where the fleet has started before, or its store was restored: the secret is lost, and
-by then each node that is in touch has noticed and put it back. Two would split the fleet meanwhile.
+"""The same if the fleet has started before or its store was restored. The secret has been lost, and
+each connected node has time to write it back; a second secret would split the fleet meanwhile.
 """
 
 
 FIRST_ERA = 1
-"""Of a store that was never restored from an older copy of itself."""
+"""Era of a store that was never restored from an older copy of itself."""
 
 
 class SharedSecret:
     """The steps to the secret; `value` is None until it has been read.
 
-    `found_none` tells that the store was read and held none, `era` is that of the store when it
-    last answered a read, if it told one.
+    `found_none` is set once a read has found no secret. `era` is the store's era in its last answer
+    to a read, or None if it named none.
     """
 
-    def __init__(
-        self, chance: random.Random, first_step: SecretStep = SecretStep.READ_STALE
-    ) -> None:
+    def __init__(self, rng: random.Random, first_step: SecretStep = SecretStep.READ_STALE) -> None:
         self.value: bytes | None = None
         self.step = first_step
         self.found_none = False
         self.era: int | None = None
-        self._pauses = FullJitter(FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS, chance)
+        self._pauses = FullJitter(FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS, rng)
 
     @property
     def failures(self) -> int:
-        """How many calls in a row had no usable answer."""
+        """How many calls had no usable answer."""
         return self._pauses.failures
 
     @property
     def is_of_restored_store(self) -> bool:
-        """Whether the store has come back from an older copy at some time, as far as it tells."""
+        """Whether the store's era shows that it was restored from an older copy."""
         return self.era is not None and self.era > FIRST_ERA
 
     def make_after_seconds(self, *, first_start: bool) -> float:
-        """Return how long neighbours have to tell their secret before a new one is made."""
+        """Return how long to wait for a secret from peers before creating a new one."""
         is_lost = self.is_of_restored_store or not first_start
         return MAKE_LATER_SECONDS if is_lost else MAKE_AFTER_SECONDS
 
     def take_secret(self, value: bytes) -> None:
-        """Take what was read."""
+        """Set the secret that was read."""
         self.value = value
 
     def take_absent(self) -> None:
-        """Note that the object is not there: ask for the newest state, then make it."""
+        """Handle a missing object: follow a stale read by a current one, and that by a creation."""
         self.found_none = True
         is_stale = self.step is SecretStep.READ_STALE
         self.step = SecretStep.READ if is_stale else SecretStep.CREATE
 
     def take_created(self) -> None:
-        """Note that the object is there now, from whomever: read it."""
+        """Read the object next, as it exists now, whichever node created it."""
         self.step = SecretStep.READ
 
     def take_failure(self) -> float:
-        """Note a call without a usable answer; return the seconds to wait before reading again."""
+        """Record a call without a usable answer; return the seconds to wait before the next one."""
         if self.step is not SecretStep.READ_STALE:
             self.step = SecretStep.READ
         return self._pauses.next_pause()
--- a/tests/unit/views/test_secret_exchange.py
+++ b/tests/unit/views/test_secret_exchange.py
@@ -1,4 +1,4 @@
-"""The fleet's secret from neighbours: whom a node asks, and whom it answers."""
+"""The fleet's secret is given only to recent members and accepted only from hosts asked."""
 
 import unittest
 
@@ -23,18 +23,18 @@
         self.seeker = SecretSeeker(NONCE, len(SECRET))
         self.seeker.requests([MEMBER])
 
-    def test_it_takes_an_answer_of_a_host_that_it_asked(self) -> None:
+    def test_answer_of_a_host_that_was_asked_is_accepted(self) -> None:
         self.assertEqual(self.seeker.take(MEMBER, SecretAnswer(NONCE, SECRET)), SECRET)
 
-    def test_it_takes_nothing_else(self) -> None:
-        odd: list[tuple[str, Message]] = [
+    def test_other_messages_are_ignored(self) -> None:
+        ignored: list[tuple[str, Message]] = [
             ("10.0.0.9", SecretAnswer(NONCE, SECRET)),
             (MEMBER, SecretAnswer(b"m" * NONCE_BYTES, SECRET)),
             (MEMBER, SecretAnswer(NONCE, SECRET[:4])),
             (MEMBER, SecretAnswer(NONCE, "text")),  # type: ignore[arg-type]
             (MEMBER, SecretRequest(NONCE)),
         ]
-        for host, message in odd:
+        for host, message in ignored:
             with self.subTest(message=message):
                 self.assertIsNone(self.seeker.take(host, message))
 
@@ -44,21 +44,21 @@
         self.keeper = SecretKeeper(SECRET)
         self.keeper.note_member(MEMBER, 10.0)
 
-    def test_a_member_is_answered(self) -> None:
+    def test_recent_member_is_answered(self) -> None:
         answer = self.keeper.answer(MEMBER, SecretRequest(NONCE), 20.0)
         assert answer is not None
         self.assertEqual((answer.host, answer.message), (MEMBER, SecretAnswer(NONCE, SECRET)))
 
-    def test_a_stranger_and_a_member_of_long_ago_are_not(self) -> None:
+    def test_unknown_hosts_and_former_members_are_not_answered(self) -> None:
         self.assertIsNone(self.keeper.answer("10.0.0.9", SecretRequest(NONCE), 20.0))
         late = 10.0 + MEMBER_SECONDS
         self.assertIsNone(self.keeper.answer(MEMBER, SecretRequest(NONCE), late))
 
-    def test_odd_messages_are_not(self) -> None:
+    def test_invalid_requests_are_not_answered(self) -> None:
         for message in (SecretRequest(b""), SecretRequest(7), SecretAnswer(NONCE, SECRET)):  # type: ignore[arg-type]
             self.assertIsNone(self.keeper.answer(MEMBER, message, 20.0))
 
-    def test_answers_to_a_host_are_bounded(self) -> None:
+    def test_rate_of_answers_to_a_host_is_bounded(self) -> None:
         answers = [
             self.keeper.answer(MEMBER, SecretRequest(NONCE), 20.0 + step / 100)
             for step in range(100)
@@ -66,7 +66,7 @@
         given = sum(answer is not None for answer in answers)
         self.assertLessEqual(given, 1.0 / ANSWER_INTERVAL_SECONDS + 1)
 
-    def test_memory_is_bounded(self) -> None:
+    def test_number_of_recorded_members_is_bounded(self) -> None:
         for number in range(MAXIMUM_MEMBERS + 10):
             self.keeper.note_member(f"h{number}", 10.0)
         last = f"h{MAXIMUM_MEMBERS + 9}"
--- a/tests/unit/views/test_shared_secret.py
+++ b/tests/unit/views/test_shared_secret.py
@@ -1,4 +1,4 @@
-"""Agreeing on the fleet's secret: whoever made it, all read the same."""
+"""All nodes use the secret read from the store, whichever node created it."""
 
 import random
 import unittest
@@ -15,14 +15,14 @@
     def setUp(self) -> None:
         self.secret = SharedSecret(random.Random(1))
 
-    def test_it_reads_first_and_makes_only_what_is_absent(self) -> None:
+    def test_secret_is_created_only_after_a_current_read_found_none(self) -> None:
         self.assertIs(self.secret.step, SecretStep.READ_STALE)
         self.secret.take_absent()
         self.assertIs(self.secret.step, SecretStep.READ)
         self.secret.take_absent()
         self.assertIs(self.secret.step, SecretStep.CREATE)
 
-    def test_what_was_made_is_read_back_before_it_is_used(self) -> None:
+    def test_created_secret_is_read_before_it_is_used(self) -> None:
         self.secret.take_absent()
         self.secret.take_absent()
         self.secret.take_created()
@@ -31,7 +31,7 @@
         self.secret.take_secret(b"key")
         self.assertEqual(self.secret.value, b"key")
 
-    def test_neighbours_have_longer_to_tell_one_that_must_have_been_lost(self) -> None:
+    def test_creation_is_delayed_longer_if_the_secret_was_lost(self) -> None:
         self.assertEqual(self.secret.make_after_seconds(first_start=True), MAKE_AFTER_SECONDS)
         self.assertEqual(self.secret.make_after_seconds(first_start=False), MAKE_LATER_SECONDS)
         self.secret.era = 1
@@ -39,7 +39,7 @@
         self.secret.era = 2
         self.assertEqual(self.secret.make_after_seconds(first_start=True), MAKE_LATER_SECONDS)
 
-    def test_a_creation_without_an_answer_is_read_back(self) -> None:
+    def test_creation_without_an_answer_is_followed_by_a_read(self) -> None:
         self.secret.take_absent()
         self.secret.take_absent()
         self.secret.take_failure()
--- a/tests/unit/views/test_stop_turns.py
+++ b/tests/unit/views/test_stop_turns.py
@@ -1,10 +1,10 @@
-"""Planned stops of one zone: who goes, who waits, and for how long."""
+"""Planned stops of a zone's nodes are staggered, without waiting for nodes that do not return."""
 
 import unittest
 
 from beamloom.replication.stop_turns import (
+    AWAY_TIMEOUT_SECONDS,
     HESITATION_SECONDS,
-    LONGEST_AWAY_SECONDS,
     StopState,
     StopTurns,
 )
@@ -17,7 +17,7 @@
     def setUp(self) -> None:
         self.turns = StopTurns("10.0.0.2")
 
-    def test_a_node_goes_as_soon_as_it_could_have_heard_of_others(self) -> None:
+    def test_single_stop_is_allowed_after_the_initial_delay(self) -> None:
         self.turns.ask(10.0)
         self.assertIs(self.turns.state, StopState.WAITING)
         self.assertFalse(self.turns.may_go(ZONE_OF_THREE, 10.0))
@@ -25,28 +25,28 @@
         self.turns.go()
         self.assertIs(self.turns.state, StopState.AWAY)
 
-    def test_a_node_waits_until_the_one_that_is_away_is_back(self) -> None:
+    def test_node_waits_until_the_one_that_is_away_returns(self) -> None:
         self.turns.note_peer("10.0.0.9", StopState.AWAY, 9.0)
         self.turns.ask(10.0)
         self.assertFalse(self.turns.may_go(ZONE_OF_THREE, 11.0))
         self.turns.note_peer("10.0.0.9", StopState.SERVING, 11.0)
         self.assertTrue(self.turns.may_go(ZONE_OF_THREE, 11.0))
 
-    def test_a_node_that_is_gone_for_good_is_not_waited_for(self) -> None:
+    def test_node_that_does_not_return_blocks_only_until_a_timeout(self) -> None:
         self.turns.note_peer("10.0.0.9", StopState.AWAY, 9.0)
         self.turns.note_peer("10.0.0.9", StopState.AWAY, 12.0)
         self.turns.ask(10.0)
-        self.assertFalse(self.turns.may_go(ZONE_OF_THREE, 8.9 + LONGEST_AWAY_SECONDS))
-        self.assertTrue(self.turns.may_go(ZONE_OF_THREE, 9.1 + LONGEST_AWAY_SECONDS))
+        self.assertFalse(self.turns.may_go(ZONE_OF_THREE, 8.9 + AWAY_TIMEOUT_SECONDS))
+        self.assertTrue(self.turns.may_go(ZONE_OF_THREE, 9.1 + AWAY_TIMEOUT_SECONDS))
 
-    def test_more_go_at_once_where_the_zone_can_spare_them(self) -> None:
+    def test_number_of_nodes_away_depends_on_the_size_of_the_zone(self) -> None:
         self.turns.note_peer("10.0.0.9", StopState.AWAY, 9.9)
         self.turns.ask(10.0)
         for nodes, expected in ((2, False), (3, False), (4, True), (29, True)):
             with self.subTest(nodes=nodes):
                 self.assertEqual(self.turns.may_go(nodes, 10.0 + SOON), expected)
 
-    def test_of_two_asked_at_the_same_moment_the_lower_host_goes(self) -> None:
+    def test_of_two_nodes_asked_at_the_same_time_the_lower_host_stops_first(self) -> None:
         other = StopTurns("10.0.0.7")
         for turns in (self.turns, other):
             turns.ask(10.0)
@@ -55,7 +55,7 @@
         self.assertTrue(self.turns.may_go(ZONE_OF_THREE, 10.0 + SOON))
         self.assertFalse(other.may_go(ZONE_OF_THREE, 10.0 + SOON))
 
-    def test_else_the_one_that_was_asked_earlier_goes(self) -> None:
+    def test_node_that_was_asked_earlier_stops_first(self) -> None:
         self.turns.note_peer("10.0.0.7", StopState.WAITING, 9.0)
         self.turns.ask(10.0)
         self.assertFalse(self.turns.may_go(ZONE_OF_THREE, 10.0 + SOON))
