--- a/src/beamloom/replication/backend_status/__init__.py
+++ b/src/beamloom/replication/backend_status/__init__.py
@@ -1,1 +1,1 @@
-"""Backend status: who watches which backend, what they conclude, and how every home hears of it."""
+"""Backend status: health checks by two watchers per backend, and gossip of the results."""
--- a/src/beamloom/replication/backend_status/evidence.py
+++ b/src/beamloom/replication/backend_status/evidence.py
@@ -1,4 +1,4 @@
-"""What this node observes of backends as a home, set against what the backends report."""
+"""Refusals and answer times that this node observes as a home, compared with load reports."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 ANSWER_SMOOTHING = 0.05
 MINIMUM_SAMPLES = 20
 SLOW_FACTOR = 2.0
-SAMPLES_EXPIRE = 60.0
+SAMPLE_LIFETIME = 60.0
 
 
 @dataclass(slots=True)
 class BackendEvidence:
-    """Observations of one backend; `answer_seconds` is a moving average over `samples`."""
+    """Observations of one backend; `answer_seconds` is a moving average of `samples` times."""
 
     refusals: int = 0
     refusals_since: float = 0.0
@@ -30,7 +30,7 @@
     sampled_at: float = 0.0
 
     def add_refusal(self, now: float) -> None:
-        """Count a refused connection; several within the window pause the backend here."""
+        """Count a refused connection; several within the window pause the backend at this home."""
         if now - self.refusals_since > REFUSAL_WINDOW:
             self.refusals_since = now
             self.refusals = 0
@@ -41,29 +41,33 @@
             self.paused_until = now + PAUSE_SECONDS
 
     def add_answer_time(self, seconds: float, now: float) -> None:
-        """Take the time from a flow's first payload to its first answer."""
-        if now - self.sampled_at > SAMPLES_EXPIRE:
+        """Add the time from a flow's first payload to the backend's first payload."""
+        if now - self.sampled_at > SAMPLE_LIFETIME:
             self.samples = 0
         weight = max(ANSWER_SMOOTHING, 1.0 / (self.samples + 1))
         self.answer_seconds += weight * (seconds - self.answer_seconds)
         self.samples += 1
         self.sampled_at = now
 
-    def counts(self, now: float) -> bool:
-        """Return whether there are enough recent answer times to judge by."""
-        return self.samples >= MINIMUM_SAMPLES and now - self.sampled_at <= SAMPLES_EXPIRE
+    def has_enough_samples(self, now: float) -> bool:
+        """Return whether there are enough answer times, the newest of them recent."""
+        return self.samples >= MINIMUM_SAMPLES and now - self.sampled_at <= SAMPLE_LIFETIME
 
-    def contradicts(self, weight_class: int, usual_seconds: float, now: float) -> bool:
-        """Return whether the reported class is at odds with what is seen of the backend."""
-        refused_lately = self.refusals > 0 and now - self.refusals_since <= REFUSAL_WINDOW
+    def contradicts(self, weight_class: int, median_seconds: float, now: float) -> bool:
+        """Return whether the observations contradict the reported class.
+
+        They contradict a class above neutral if the backend recently refused a connection or is
+        far slower than `median_seconds`, and a class below neutral if it did not and is no slower.
+        """
+        refused_recently = self.refusals > 0 and now - self.refusals_since <= REFUSAL_WINDOW
         if weight_class > NEUTRAL_CLASS:
-            return refused_lately or self.answer_seconds > SLOW_FACTOR * usual_seconds
+            return refused_recently or self.answer_seconds > SLOW_FACTOR * median_seconds
         if weight_class < NEUTRAL_CLASS:
-            return not refused_lately and self.answer_seconds <= usual_seconds
+            return not refused_recently and self.answer_seconds <= median_seconds
         return False
 
 
-def usual_answer_seconds(evidence: Iterable[BackendEvidence], now: float) -> float | None:
-    """Return the median answer time of a service's backends, None when too few are known."""
-    times = [item.answer_seconds for item in evidence if item.counts(now)]
+def median_answer_seconds(evidence: Iterable[BackendEvidence], now: float) -> float | None:
+    """Return the median answer time of a service's backends, None if fewer than two have one."""
+    times = [item.answer_seconds for item in evidence if item.has_enough_samples(now)]
     return median(times) if len(times) > 1 else None
--- a/src/beamloom/replication/backend_status/gossip.py
+++ b/src/beamloom/replication/backend_status/gossip.py
@@ -1,7 +1,8 @@
-"""Spreads status records: news are pushed once to a few peers, digests repair what was missed.
+"""Spreads status records by push gossip, with anti-entropy by digests (Demers et al., 1987).
 
-Push is rumour mongering that stops after one round (Demers et al., 1987), so that its cost is known
-beforehand; the digests reach whoever it missed, and bring a joining node up to date.
+A node pushes a record that it has written, or first received by a push, once to a few random peers,
+which bounds the cost of a change. Digests repair what pushes missed and bring a joining node up to
+date.
 """
 
 from __future__ import annotations
@@ -31,12 +32,12 @@
 URGENT_DELAY = 0.25
 PUSH_INTERVAL = 5.0
 PUSH_FANOUT = 4
-CROWDED_FANOUT = 2
-CROWDED_QUEUE = 60
+BACKLOG_FANOUT = 2
+BACKLOG_THRESHOLD = 60
 RETRY_INTERVAL = 1.0
 DIGEST_INTERVAL = 10.0
 EXCEPTIONS_INTERVAL = 2.0
-BEHIND_INTERVAL = 4.0
+LAGGING_INTERVAL = 4.0
 JOINING_INTERVAL = 0.5
 PULLED_BUCKETS = 32
 PULLED_RECORDS = 2 * MAXIMUM_BATCH_RECORDS
@@ -51,7 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipStatus:
-    """Counters of status gossip; `deferred` are messages held back by the rate limit."""
+    """Counters of status gossip.
+
+    `deferred` counts sends that the rate limit prevented: a push is retried, other messages are
+    dropped. `estimated_bytes` is the estimated size of all messages sent.
+    """
 
     queued: int
     pushed_records: int
@@ -62,35 +67,40 @@
 
 
 class StatusGossip:
-    """Push and anti-entropy over one register; keeps itself under `BYTES_PER_SECOND`."""
+    """Push gossip and anti-entropy for one register.
+
+    A token bucket limits the estimated traffic to `BYTES_PER_SECOND`, with bursts of `BURST_BYTES`.
+    `exceptions_synchronized` is set when a peer's exceptions digest matches, when a complete
+    `StatusExceptions` arrives, or when there are no peers.
+    """
 
-    def __init__(self, register: StatusRegister, chance: random.Random, now: float) -> None:
+    def __init__(self, register: StatusRegister, rng: random.Random, now: float) -> None:
         self._register = register
-        self._random = chance
+        self._rng = rng
         self._peers: Sequence[NodeId] = ()
         self._queue: dict[int, None] = {}
         self._urgent: dict[int, None] = {}
         self._tokens = BURST_BYTES
         self._refilled_at = now
-        self._push_at = now + chance.random() * PUSH_INTERVAL
-        self._digest_at = now + chance.random() * JOINING_INTERVAL
-        self._exceptions_at = now + chance.random() * EXCEPTIONS_INTERVAL
-        self.agrees_on_exceptions = False
+        self._push_at = now + rng.random() * PUSH_INTERVAL
+        self._digest_at = now + rng.random() * JOINING_INTERVAL
+        self._exceptions_at = now + rng.random() * EXCEPTIONS_INTERVAL
+        self.exceptions_synchronized = False
         self._joining = True
-        self._behind = False
+        self._lagging = False
         self._pushed = 0
         self._pulled = 0
         self._deferred = 0
         self._bytes = 0
 
     def update_peers(self, peers: Sequence[NodeId]) -> None:
-        """Take the other nodes that answer."""
+        """Replace the peers to gossip with."""
         self._peers = peers
 
     def publish(self, backend_number: int, now: float, *, urgent: bool) -> None:
-        """Queue a record as news: urgent ones go soon, the others gather for the next push.
+        """Queue a record: an urgent one for a push within `URGENT_DELAY`, others for a later one.
 
-        When the queue is full, only digests carry the record.
+        If the queue is full, the record spreads by digests only.
         """
         queue = self._urgent if urgent else self._queue
         if len(queue) >= QUEUE_CAPACITY:
@@ -100,16 +110,16 @@
             self._push_at = min(self._push_at, now + URGENT_DELAY)
 
     def receive_digest(self, sender: NodeId, message: StatusDigest, now: float) -> list[Command]:
-        """Answer a digest that differs: exceptions first, then the digests of the buckets."""
+        """Answer differing exceptions with records, and a differing root with bucket digests."""
         commands: list[Command] = []
         if message.exceptions == self._register.exceptions_root:
-            self.agrees_on_exceptions = True
+            self.exceptions_synchronized = True
         else:
             commands += self._send_exceptions(sender, now)
         if message.root is None:
             return commands
         if message.root == self._register.root:
-            self._joining = self._behind = False
+            self._joining = self._lagging = False
             return commands
         answer = StatusBuckets(self._register.bucket_digests())
         size = MESSAGE_OVERHEAD + BUCKET_COUNT * BUCKET_DIGEST_SIZE
@@ -118,11 +128,11 @@
     def answer_exceptions(
         self, sender: NodeId, message: StatusExceptions, now: float
     ) -> list[Command]:
-        """Send back what this node knows better than the sender, once its records are taken.
+        """Send back the records that are newer here, after the sender's have been applied.
 
-        A reply may be answered too, by greater values only, so that this comes to an end.
+        A reply is answered too, but only with greater values, so the exchange terminates.
         """
-        self.agrees_on_exceptions = self.agrees_on_exceptions or message.complete
+        self.exceptions_synchronized = self.exceptions_synchronized or message.complete
         theirs = dict(zip(message.records[::2], message.records[1::2], strict=True))
         held = [(number, self._register.value(number)) for number in theirs]
         newer = [(number, value) for number, value in held if value > theirs[number]]
@@ -134,17 +144,17 @@
         return self._send_repair(sender, newer, now, wants_reply=False)
 
     def receive_buckets(self, sender: NodeId, message: StatusBuckets, now: float) -> list[Command]:
-        """Pull some of the buckets that differ."""
+        """Request up to `PULLED_BUCKETS` random buckets among those that differ."""
         differing = self._register.differing_buckets(message.digests)
-        self._behind = len(differing) > PULLED_BUCKETS
-        self._joining = self._joining and self._behind
+        self._lagging = len(differing) > PULLED_BUCKETS
+        self._joining = self._joining and self._lagging
         if not differing:
             return []
-        wanted = self._random.sample(differing, min(PULLED_BUCKETS, len(differing)))
+        wanted = self._rng.sample(differing, min(PULLED_BUCKETS, len(differing)))
         return self._send_within_rate([sender], StatusPull(wanted), MESSAGE_OVERHEAD, now)
 
     def receive_pull(self, sender: NodeId, message: StatusPull, now: float) -> list[Command]:
-        """Answer with records of the buckets, in the order asked, as far as the limits allow."""
+        """Answer with records of the buckets, in the order requested, within the limits."""
         records = self._register.bucket_records(message.buckets[:PULLED_BUCKETS])[:PULLED_RECORDS]
         commands: list[Command] = []
         for start in range(0, len(records), MAXIMUM_BATCH_RECORDS):
@@ -154,56 +164,56 @@
         return commands
 
     def count_pulled(self, records: int) -> None:
-        """Count records that a pull brought."""
+        """Count records received in answer to a pull."""
         self._pulled += records
 
     def poll(self, now: float) -> list[Command]:
-        """Push queued news and send a digest, each when due."""
+        """Push queued records and send digests, each when due."""
         commands: list[Command] = []
         if now >= self._push_at:
             commands += self._push(now)
             self._push_at = now + (RETRY_INTERVAL if self._urgent else PUSH_INTERVAL)
         if now >= self._digest_at:
-            self._digest_at = now + self._digest_interval() * self._random.uniform(0.8, 1.2)
+            self._digest_at = now + self._digest_interval() * self._rng.uniform(0.8, 1.2)
             commands += self._send_digest(now)
         if now >= self._exceptions_at:
-            commands += self._compare_exceptions(now)
+            commands += self._send_exceptions_digest(now)
         return commands
 
     def next_timer(self) -> float:
-        """Return when `poll` has something to do."""
+        """Return when `poll` is due."""
         due = min(self._digest_at, self._exceptions_at)
         return min(self._push_at, due) if self._queue or self._urgent else due
 
     def snapshot(self) -> GossipStatus:
-        """Return the counters."""
+        """Return counters and state."""
         return GossipStatus(
             queued=len(self._queue) + len(self._urgent),
             pushed_records=self._pushed,
             pulled_records=self._pulled,
             deferred=self._deferred,
             estimated_bytes=self._bytes,
-            catching_up=self._joining or self._behind,
+            catching_up=self._joining or self._lagging,
         )
 
     def _digest_interval(self) -> float:
         if self._joining:
             return JOINING_INTERVAL
-        return BEHIND_INTERVAL if self._behind else DIGEST_INTERVAL
+        return LAGGING_INTERVAL if self._lagging else DIGEST_INTERVAL
 
     def _push(self, now: float) -> list[Command]:
-        waiting = len(self._urgent) or len(self._queue)
-        if not waiting or not self._peers:
+        queued = len(self._urgent) or len(self._queue)
+        if not queued or not self._peers:
             self._urgent.clear()
             self._queue.clear()
             return []
-        fanout = CROWDED_FANOUT if waiting > CROWDED_QUEUE else PUSH_FANOUT
-        peers = self._random.sample(self._peers, min(fanout, len(self._peers)))
+        fanout = BACKLOG_FANOUT if queued > BACKLOG_THRESHOLD else PUSH_FANOUT
+        peers = self._rng.sample(self._peers, min(fanout, len(self._peers)))
         self._refill(now)
         reserved = 0.0 if self._urgent else RESERVED_FOR_REPAIR
         usable = (self._tokens - reserved) / len(peers)
-        room = int((usable - MESSAGE_OVERHEAD) // RECORD_BYTES)
-        count = min(room, waiting, MAXIMUM_BATCH_RECORDS)
+        record_limit = int((usable - MESSAGE_OVERHEAD) // RECORD_BYTES)
+        count = min(record_limit, queued, MAXIMUM_BATCH_RECORDS)
         if count <= 0:
             self._deferred += 1
             return []
@@ -221,7 +231,7 @@
         if not self._peers:
             self._joining = False
             return []
-        peer = self._random.choice(self._peers)
+        peer = self._rng.choice(self._peers)
         return self._send_within_rate(
             [peer],
             StatusDigest(self._register.exceptions_root, self._register.root),
@@ -237,20 +247,20 @@
         self, peer: NodeId, records: list[tuple[int, int]], now: float, *, wants_reply: bool
     ) -> list[Command]:
         self._refill(now)
-        room = int((self._tokens - MESSAGE_OVERHEAD) // RECORD_BYTES)
-        count = max(0, min(room, len(records), MAXIMUM_RECORDS_OF_REPAIR))
-        part = self._random.sample(records, count)
+        record_limit = int((self._tokens - MESSAGE_OVERHEAD) // RECORD_BYTES)
+        count = max(0, min(record_limit, len(records), MAXIMUM_RECORDS_OF_REPAIR))
+        part = self._rng.sample(records, count)
         flat = [item for record in part for item in record]
         message = StatusExceptions(flat, count == len(records), wants_reply)
         return self._send_within_rate([peer], message, _batch_size(count), now, reserved=0.0)
 
-    def _compare_exceptions(self, now: float) -> list[Command]:
-        self._exceptions_at = now + EXCEPTIONS_INTERVAL * self._random.uniform(0.8, 1.2)
+    def _send_exceptions_digest(self, now: float) -> list[Command]:
+        self._exceptions_at = now + EXCEPTIONS_INTERVAL * self._rng.uniform(0.8, 1.2)
         if not self._peers:
-            self.agrees_on_exceptions = True
+            self.exceptions_synchronized = True
             return []
         message = StatusDigest(self._register.exceptions_root, None)
-        peer = self._random.choice(self._peers)
+        peer = self._rng.choice(self._peers)
         return self._send_within_rate([peer], message, MESSAGE_OVERHEAD, now, reserved=0.0)
 
     def _send_within_rate(
--- a/src/beamloom/replication/backend_status/health.py
+++ b/src/beamloom/replication/backend_status/health.py
@@ -1,4 +1,4 @@
-"""Hysteresis of health checks: a status changes only after several like outcomes in a row."""
+"""Hysteresis of health checks: a status changes only after several equal outcomes in a row."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class HealthHysteresis:
-    """The status that one watcher concludes from its own checks of one backend."""
+    """The status of one backend according to one watcher's own checks.
+
+    `failing` is whether the last check failed, None before the first; the caller sets it.
+    """
 
     __slots__ = ("_candidate", "_streak", "failing", "status")
 
@@ -20,8 +23,8 @@
         self._streak = 0
 
     def observe(self, *, healthy: bool, shedding: bool) -> bool:
-        """Take one outcome; returns whether the status changed."""
-        outcome = _outcome(healthy, shedding)
+        """Apply one outcome; return whether the status changed."""
+        outcome = _observed_status(healthy, shedding)
         if outcome is self.status:
             self._streak = 0
             return False
@@ -35,7 +38,7 @@
         return True
 
 
-def _outcome(healthy: bool, shedding: bool) -> BackendOperatingStatus:
+def _observed_status(healthy: bool, shedding: bool) -> BackendOperatingStatus:
     if not healthy:
         return BackendOperatingStatus.OFFLINE
     return BackendOperatingStatus.SHEDDING if shedding else BackendOperatingStatus.ONLINE
--- a/src/beamloom/replication/backend_status/load_reports.py
+++ b/src/beamloom/replication/backend_status/load_reports.py
@@ -1,32 +1,35 @@
-"""Load reports of backends, which lag, freeze and lie: few classes, moved slowly, bounded."""
+"""Maps the load that a backend reports to a weight class.
+
+Reports may be late, frozen or wrong, so the class has few values and changes in single steps.
+"""
 
 from __future__ import annotations
 
 import math
 
 CLASS_COUNT = 8
-WEIGHT_FLOOR = 0.25
-CLASS_STEP = 0.125
+MINIMUM_FACTOR = 0.25
+FACTOR_STEP = 0.125
 NEUTRAL_CLASS = 6
 NEUTRAL_LOAD = 0.5
-WEIGHT_PER_LOAD = 0.5
+FACTOR_PER_LOAD = 0.5
 SMOOTHING = 0.2
-MOVE_INTERVAL = 10.0
-STAY_WITHIN = 0.1
+CLASS_CHANGE_INTERVAL = 10.0
+CLASS_HYSTERESIS = 0.1
 FROZEN_AFTER = 60.0
 
 
 def class_factor(weight_class: int) -> float:
     """Return the factor on a backend's weight: 0.25 for class 0, 1.0 for neutral, 1.125 at most."""
-    return WEIGHT_FLOOR + CLASS_STEP * weight_class
+    return MINIMUM_FACTOR + FACTOR_STEP * weight_class
 
 
-class LoadReport:
-    """What one backend reports of its load (0 to 1, above 1 when it queues), as a weight class."""
+class LoadTracker:
+    """Smooths one backend's reported load (0 to 1, above 1 if it queues) into a weight class."""
 
     __slots__ = (
+        "_class_changed_at",
         "_last_value",
-        "_moved_at",
         "_smoothed",
         "frozen",
         "unchanged_since",
@@ -39,10 +42,10 @@
         self.unchanged_since = now
         self._last_value = math.nan
         self._smoothed = NEUTRAL_LOAD
-        self._moved_at = now
+        self._class_changed_at = now
 
     def observe(self, load: float, now: float) -> None:
-        """Take one report; a value that is no load counts as no report."""
+        """Add one report; a negative or non-finite load counts as `NEUTRAL_LOAD`."""
         if not math.isfinite(load) or load < 0.0:
             load = NEUTRAL_LOAD
         if load != self._last_value:
@@ -50,21 +53,21 @@
             self.unchanged_since = now
         self._smoothed += SMOOTHING * (load - self._smoothed)
 
-    def judge(self, *, others_move: bool, now: float) -> None:
-        """Move at most one class, towards neutral if the report froze while others moved."""
-        self.frozen = others_move and now - self.unchanged_since >= FROZEN_AFTER
-        if now - self._moved_at < MOVE_INTERVAL:
+    def update_class(self, *, others_changing: bool, now: float) -> None:
+        """Move at most one class, towards neutral if the report is frozen while others change."""
+        self.frozen = others_changing and now - self.unchanged_since >= FROZEN_AFTER
+        if now - self._class_changed_at < CLASS_CHANGE_INTERVAL:
             return
-        wanted = self._wanted_class()
-        if wanted != self.weight_class:
-            self.weight_class += 1 if wanted > self.weight_class else -1
-            self._moved_at = now
+        target_class = self._target_class()
+        if target_class != self.weight_class:
+            self.weight_class += 1 if target_class > self.weight_class else -1
+            self._class_changed_at = now
 
-    def _wanted_class(self) -> int:
+    def _target_class(self) -> int:
         if self.frozen:
             return NEUTRAL_CLASS
-        target = 1.0 - WEIGHT_PER_LOAD * (self._smoothed - NEUTRAL_LOAD)
-        target = min(class_factor(CLASS_COUNT - 1), max(WEIGHT_FLOOR, target))
-        if abs(target - class_factor(self.weight_class)) < STAY_WITHIN:
+        target = 1.0 - FACTOR_PER_LOAD * (self._smoothed - NEUTRAL_LOAD)
+        target = min(class_factor(CLASS_COUNT - 1), max(MINIMUM_FACTOR, target))
+        if abs(target - class_factor(self.weight_class)) < CLASS_HYSTERESIS:
             return self.weight_class
-        return round((target - WEIGHT_FLOOR) / CLASS_STEP)
+        return round((target - MINIMUM_FACTOR) / FACTOR_STEP)
--- a/src/beamloom/replication/backend_status/register.py
+++ b/src/beamloom/replication/backend_status/register.py
@@ -1,7 +1,8 @@
-"""The newest status record of each backend: a last-writer-wins register with digests by bucket.
+"""The newest status record of each backend: a last-writer-wins register with a digest per bucket.
 
-A record's `value` is one integer, so that the greater of two values is the newer record on every
-node: epoch, then whether the first watcher wrote it, then reason, weight class and status.
+A record is encoded as one integer, its `value`, and the greater value is the newer record. From the
+highest bits down it holds the epoch, whether the first watcher wrote it, reason, weight class and
+status.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 class StatusReason(IntEnum):
-    """Why a watcher wrote a record; at most eight."""
+    """Why a watcher wrote a record; the encoding has room for eight reasons."""
 
     NONE = 0
     CHECKS_PASSED = 1
@@ -43,7 +44,7 @@
 
 
 class StatusRecord(NamedTuple):
-    """A decoded record; `by_first_watcher` wins over the second at the same epoch."""
+    """A decoded record; at the same epoch, the first watcher's record replaces the second's."""
 
     epoch: int
     by_first_watcher: bool
@@ -58,13 +59,13 @@
         return value | self.status
 
 
-def assumed_online() -> StatusRecord:
-    """Return what stands for no record: the watchers find nothing amiss, the weight is neutral."""
+def assumed_online_record() -> StatusRecord:
+    """Return the record that stands for a missing one: online, with the neutral weight class."""
     return StatusRecord(0, False, StatusReason.NONE, NEUTRAL_CLASS, BackendOperatingStatus.ONLINE)
 
 
 def decode_record(value: int) -> StatusRecord:
-    """Return the record of a value; an unknown reason, of a newer node, becomes NONE."""
+    """Return the record of a value; a reason that this version does not know becomes NONE."""
     reason = value >> REASON_SHIFT & ((1 << REASON_BITS) - 1)
     return StatusRecord(
         epoch=value >> EPOCH_SHIFT,
@@ -80,19 +81,19 @@
 
 
 _REASONS = frozenset(StatusReason)
-_EXCEPTIONAL = frozenset({BackendOperatingStatus.OFFLINE, BackendOperatingStatus.SHEDDING})
+_EXCEPTION_STATUSES = frozenset({BackendOperatingStatus.OFFLINE, BackendOperatingStatus.SHEDDING})
 
 
 class StatusRegister:
-    """Values by backend number, for the backends in force only.
+    """Values by backend number.
 
-    `exceptions` are the records of backends that are offline or shedding, with a digest of their
-    own: few, and the ones that a home must not miss.
+    `exceptions` are the values of backends that are offline or shedding. Their digest is separate,
+    so that nodes can compare them more often than all records.
     """
 
     def __init__(self) -> None:
         self._values: dict[int, int] = {}
-        self._members: list[set[int]] = [set() for _ in range(BUCKET_COUNT)]
+        self._buckets: list[set[int]] = [set() for _ in range(BUCKET_COUNT)]
         self._digests = [0] * BUCKET_COUNT
         self.root = 0
         self.exceptions: dict[int, int] = {}
@@ -103,58 +104,58 @@
         return len(self._values)
 
     def value(self, backend_number: int) -> int:
-        """Return a backend's value, 0 while nothing is known."""
+        """Return a backend's value, 0 if it has none."""
         return self._values.get(backend_number, 0)
 
     def items(self) -> Iterator[tuple[int, int]]:
-        """Return every (number, value)."""
+        """Return every (number, value) pair."""
         return iter(self._values.items())
 
     def apply(self, backend_number: int, value: int) -> bool:
-        """Take a value if it is newer than the one held; returns whether it was taken."""
+        """Store a valid value that is newer than the current one; return whether it was."""
         before = self._values.get(backend_number, 0)
         if not before < value <= MAXIMUM_VALUE:
             return False
         if before:
-            self._toggle(backend_number, before)
-        self._except(backend_number, value)
+            self._toggle_digest(backend_number, before)
+        self._update_exceptions(backend_number, value)
         self._values[backend_number] = value
-        self._members[backend_number % BUCKET_COUNT].add(backend_number)
-        self._toggle(backend_number, value)
+        self._buckets[backend_number % BUCKET_COUNT].add(backend_number)
+        self._toggle_digest(backend_number, value)
         return True
 
     def remove(self, backend_number: int) -> None:
-        """Forget a deleted backend."""
+        """Remove a backend's record, if any."""
         value = self._values.pop(backend_number, None)
         if value is not None:
-            self._members[backend_number % BUCKET_COUNT].discard(backend_number)
-            self._toggle(backend_number, value)
-            self._except(backend_number, 0)
+            self._buckets[backend_number % BUCKET_COUNT].discard(backend_number)
+            self._toggle_digest(backend_number, value)
+            self._update_exceptions(backend_number, 0)
 
     def bucket_digests(self) -> bytes:
-        """Return the digests of all buckets in wire form."""
+        """Return the digests of all buckets in wire format."""
         return _BUCKETS.pack(*(digest & DIGEST_MASK for digest in self._digests))
 
     def differing_buckets(self, digests: bytes) -> list[int]:
-        """Return the buckets whose digest differs from those given in wire form."""
+        """Return the buckets whose digest differs from the one in `digests`, in wire format."""
         others = _BUCKETS.unpack(digests)
         own = self._digests
         return [index for index, digest in enumerate(others) if own[index] & DIGEST_MASK != digest]
 
     def bucket_records(self, buckets: Iterable[int]) -> list[tuple[int, int]]:
-        """Return every (number, value) of the given buckets."""
+        """Return every (number, value) pair of the given buckets."""
         values = self._values
-        return [(number, values[number]) for bucket in buckets for number in self._members[bucket]]
+        return [(number, values[number]) for bucket in buckets for number in self._buckets[bucket]]
 
-    def _except(self, backend_number: int, value: int) -> None:
+    def _update_exceptions(self, backend_number: int, value: int) -> None:
         before = self.exceptions.pop(backend_number, None)
         if before is not None:
             self.exceptions_root ^= _digest(backend_number, before)
-        if decode_record(value).status in _EXCEPTIONAL:
+        if decode_record(value).status in _EXCEPTION_STATUSES:
             self.exceptions[backend_number] = value
             self.exceptions_root ^= _digest(backend_number, value)
 
-    def _toggle(self, backend_number: int, value: int) -> None:
+    def _toggle_digest(self, backend_number: int, value: int) -> None:
         digest = _digest(backend_number, value)
         self._digests[backend_number % BUCKET_COUNT] ^= digest
         self.root ^= digest
--- a/src/beamloom/replication/backend_status/watchers.py
+++ b/src/beamloom/replication/backend_status/watchers.py
@@ -1,4 +1,4 @@
-"""`BackendWatchers`: the component that checks, gossips and answers for the status of backends."""
+"""`BackendWatchers`: the component that checks backends, gossips their status and reports it."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from beamloom.protocol.events import BackendChecked
 from beamloom.protocol.messages import Message
 from beamloom.replication.backend_status.assignment import WatcherAssignment
-from beamloom.replication.backend_status.checking import BackendChecking
-from beamloom.replication.backend_status.evidence import BackendEvidence, usual_answer_seconds
+from beamloom.replication.backend_status.checking import BackendChecker
+from beamloom.replication.backend_status.evidence import BackendEvidence, median_answer_seconds
 from beamloom.replication.backend_status.gossip import GossipStatus, StatusGossip
 from beamloom.replication.backend_status.register import (
     StatusRecord,
     StatusRegister,
-    assumed_online,
+    assumed_online_record,
     decode_record,
 )
 from beamloom.replication.backend_status.views import (
@@ -36,18 +36,18 @@
     make_view,
 )
 
-JUDGE_INTERVAL = 2.0
+REPORT_COMPARISON_INTERVAL = 2.0
 _UNKNOWN = BackendOperatingStatus.UNKNOWN
 _ONLINE = BackendOperatingStatus.ONLINE
 
 
 class UnknownBackendError(KeyError):
-    """No contract in force names this backend; the configuration may be behind."""
+    """The backend belongs to no service in force; the configuration may be out of date."""
 
 
 @dataclass(frozen=True, slots=True)
 class BackendWatchersStatus:
-    """Counters and state, for status and explanations."""
+    """Counters and state for metrics."""
 
     watched: int
     records: int
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _KnownBackend:
+class _BackendEntry:
     backend: Backend
     service_number: int
     check_interval: float
@@ -68,32 +68,32 @@
 
 
 class BackendWatchers:
-    """The status of every backend, as this node knows it, and this node's part in finding it out.
+    """Tracks the status of every backend and performs this node's share of the checks.
 
-    `chance` spreads checks and chooses the peers of gossip.
+    `rng` randomizes the times of checks and gossip, and the choice of gossip peers.
     """
 
-    def __init__(self, node_id: NodeId, chance: random.Random, now: float) -> None:
+    def __init__(self, node_id: NodeId, rng: random.Random, now: float) -> None:
         self._node_id = node_id
         self._started_at = now
         self._register = StatusRegister()
         self._assignment = WatcherAssignment()
-        self._gossip = StatusGossip(self._register, chance, now)
-        self._created: set[int] = set()
-        self._checking = BackendChecking(node_id, self._register, self._created, chance)
-        self._known: dict[int, _KnownBackend] = {}
-        self._has_backends = False
+        self._gossip = StatusGossip(self._register, rng, now)
+        self._new_backends: set[int] = set()
+        self._checker = BackendChecker(node_id, self._register, self._new_backends, rng)
+        self._backends: dict[int, _BackendEntry] = {}
+        self._is_configured = False
         self._inputs: dict[int, ViewInputs] = {}
         self._evidence: dict[int, BackendEvidence] = {}
-        self._services: dict[int, list[int]] = {}
+        self._backends_by_service: dict[int, list[int]] = {}
         self._sampled_services: set[int] = set()
-        self._judge_at = now + JUDGE_INTERVAL
+        self._compare_reports_at = now + REPORT_COMPARISON_INTERVAL
         self._unknown_records = 0
         self._refusals_seen = 0
         self._answer_times_seen = 0
 
     def update_members(self, members: Iterable[Member], now: float) -> None:
-        """Take the members; watchers and peers follow."""
+        """Update the gossip peers, and the watched backends if the candidate watchers changed."""
         listed = tuple(members)
         others = [item.machine.node_id for item in listed if item.answers]
         self._gossip.update_peers([node for node in others if node != self._node_id])
@@ -101,80 +101,80 @@
             self._update_watched(now)
 
     def update_backends(self, services: Iterable[ServiceContract], now: float) -> None:
-        """Take the services in force; backends that come after the first call start cold."""
-        known: dict[int, _KnownBackend] = {}
+        """Replace the services in force; backends added after the first call start cold."""
+        entries: dict[int, _BackendEntry] = {}
         grouped: dict[int, list[int]] = {}
         for service in services:
             grouped[service.service_number] = [item.backend_number for item in service.backends]
             for backend in service.backends:
-                known[backend.backend_number] = _known_backend(service, backend)
-        if self._has_backends:
-            self._created |= known.keys() - self._known.keys()
-        self._has_backends = True
-        for number in self._known.keys() - known.keys():
-            self._forget(number)
-        self._known = known
+                entries[backend.backend_number] = _backend_entry(service, backend)
+        if self._is_configured:
+            self._new_backends |= entries.keys() - self._backends.keys()
+        self._is_configured = True
+        for number in self._backends.keys() - entries.keys():
+            self._remove_backend(number)
+        self._backends = entries
         for number, inputs in self._inputs.items():
-            inputs.ramp_seconds = known[number].ramp_seconds
-        self._services = grouped
-        self._assignment.update_backends(known)
+            inputs.ramp_seconds = entries[number].ramp_seconds
+        self._backends_by_service = grouped
+        self._assignment.update_backends(entries)
         self._update_watched(now)
 
     def backend_checked(self, event: BackendChecked, now: float) -> list[Command]:
-        """Take the answer to a `CheckBackend`."""
-        commands = self._checking.backend_checked(event, now)
-        return commands + self._publish_changes(now)
+        """Handle the result of a `CheckBackend`."""
+        commands = self._checker.backend_checked(event, now)
+        return commands + self._publish_pending_records(now)
 
     def observe_refusal(self, backend_number: int, now: float) -> None:
-        """Count a connection that the backend refused to a flow of this home."""
+        """Count a connection of a flow of this home that the backend refused."""
         evidence = self._evidence_of(backend_number)
         if evidence is not None:
             self._refusals_seen += 1
             evidence.add_refusal(now)
 
     def observe_answer_time(self, backend_number: int, seconds: float, now: float) -> None:
-        """Take the time that the backend took to answer a flow's first payload."""
+        """Add the time from a flow's first payload to the backend's first payload."""
         evidence = self._evidence_of(backend_number)
         if evidence is not None:
             self._answer_times_seen += 1
             evidence.add_answer_time(seconds, now)
 
     def status(self, backend_number: int, now: float) -> BackendView:
-        """Return what a home needs to know of a backend; raises UnknownBackendError."""
-        known = self._known.get(backend_number)
-        if known is None:
+        """Return the view of a backend; raise UnknownBackendError if it is in no service."""
+        entry = self._backends.get(backend_number)
+        if entry is None:
             raise UnknownBackendError(
-                f"backend {backend_number} is in no contract; wait for the configuration"
+                f"backend {backend_number} is in no service in force; wait for the configuration"
             )
         inputs = self._inputs.get(backend_number)
         if inputs is None:
-            inputs = ViewInputs(known.ramp_seconds, self._started_at)
-        record = self._record(backend_number)
+            inputs = ViewInputs(entry.ramp_seconds, self._started_at)
+        record = self._effective_record(backend_number)
         return make_view(record, inputs, self._evidence.get(backend_number), now)
 
     def watchers(self, backend_number: int) -> tuple[NodeId, ...]:
-        """Return the nodes that check a backend, for explanations."""
+        """Return the nodes that check a backend."""
         return self._assignment.watchers(backend_number)
 
     def records(self) -> Iterator[tuple[int, int]]:
-        """Return the value of each backend's record, for comparing nodes."""
+        """Return the (number, value) pair of each record."""
         return self._register.items()
 
     def handle_message(self, sender: NodeId, message: Message, now: float) -> list[Command]:
-        """Take a message of kinds 64 to 69; others are ignored."""
+        """Handle a message of kinds 64 to 69; others are ignored."""
         match message:
             case WatcherOpinion():
-                commands = self._checking.opinion_received(sender, message, now)
-                return commands + self._publish_changes(now)
+                commands = self._checker.opinion_received(sender, message, now)
+                return commands + self._publish_pending_records(now)
             case StatusBatch():
-                return self._take_batch(message, now)
+                return self._receive_batch(message, now)
             case _:
-                return self._repair(sender, message, now)
+                return self._handle_repair(sender, message, now)
 
-    def _repair(self, sender: NodeId, message: Message, now: float) -> list[Command]:
+    def _handle_repair(self, sender: NodeId, message: Message, now: float) -> list[Command]:
         match message:
             case StatusExceptions():
-                commands = self._take_records(message.records, now, publish=False)
+                commands = self._apply_records(message.records, now, publish=False)
                 return commands + self._gossip.answer_exceptions(sender, message, now)
             case StatusDigest():
                 return self._gossip.receive_digest(sender, message, now)
@@ -186,31 +186,31 @@
                 return []
 
     def poll(self, now: float) -> list[Command]:
-        """Start due checks, send due gossip, judge load reports by what was observed."""
-        commands = self._checking.poll(now)
-        commands += self._publish_changes(now)
+        """Start due checks, send due gossip and compare load reports with observations."""
+        commands = self._checker.poll(now)
+        commands += self._publish_pending_records(now)
         commands += self._gossip.poll(now)
-        if now >= self._judge_at:
-            self._judge_at = now + JUDGE_INTERVAL
-            self._judge_reports(now)
+        if now >= self._compare_reports_at:
+            self._compare_reports_at = now + REPORT_COMPARISON_INTERVAL
+            self._compare_reports(now)
         return commands
 
     def next_timer(self) -> float | None:
-        """Return when `poll` has something to do."""
+        """Return when `poll` is due."""
         times = [self._gossip.next_timer()]
-        check_at = self._checking.next_timer()
+        check_at = self._checker.next_timer()
         if check_at is not None:
             times.append(check_at)
         if self._sampled_services:
-            times.append(self._judge_at)
+            times.append(self._compare_reports_at)
         return min(times)
 
     def snapshot(self) -> BackendWatchersStatus:
         """Return counters and state."""
         return BackendWatchersStatus(
-            watched=self._checking.watched_count,
+            watched=self._checker.watched_count,
             records=len(self._register),
-            distrusts_itself=self._checking.distrusts_itself,
+            distrusts_itself=self._checker.suspects_local_fault,
             unknown_records=self._unknown_records,
             refusals_seen=self._refusals_seen,
             answer_times_seen=self._answer_times_seen,
@@ -220,57 +220,58 @@
 
     def _update_watched(self, now: float) -> None:
         numbers = self._assignment.watched_by(self._node_id)
-        known = [(number, self._known[number]) for number in numbers]
+        entries = [(number, self._backends[number]) for number in numbers]
         watched = [
-            (item.backend, item.check_interval, self._assignment.watchers(number))
-            for number, item in known
+            (entry.backend, entry.check_interval, self._assignment.watchers(number))
+            for number, entry in entries
         ]
-        self._checking.update(watched, now)
+        self._checker.update(watched, now)
 
-    def _publish_changes(self, now: float) -> list[Command]:
-        changes, self._checking.changes = self._checking.changes, []
+    def _publish_pending_records(self, now: float) -> list[Command]:
+        records, self._checker.pending_records = self._checker.pending_records, []
         commands: list[Command] = []
-        for number, value in changes:
+        for number, value in records:
             commands += self._apply(number, value, now, publish=True)
         return commands
 
-    def _take_batch(self, message: StatusBatch, now: float) -> list[Command]:
+    def _receive_batch(self, message: StatusBatch, now: float) -> list[Command]:
         if not message.fresh:
             self._gossip.count_pulled(len(message.records) // 2)
-        return self._take_records(message.records, now, publish=message.fresh)
+        return self._apply_records(message.records, now, publish=message.fresh)
 
-    def _take_records(self, records: list[int], now: float, *, publish: bool) -> list[Command]:
+    def _apply_records(self, records: list[int], now: float, *, publish: bool) -> list[Command]:
         commands: list[Command] = []
         for number, value in zip(records[::2], records[1::2], strict=True):
-            if number in self._known:
+            if number in self._backends:
                 commands += self._apply(number, value, now, publish=publish)
             else:
                 self._unknown_records += 1
         return commands
 
     def _apply(self, number: int, value: int, now: float, *, publish: bool) -> list[Command]:
-        before = self._record(number)
+        before = self._effective_record(number)
         if not self._register.apply(number, value):
             return []
         after = decode_record(value)
         if publish:
-            expected = before.status is _UNKNOWN and after.status is _ONLINE
-            is_news = not expected or number in self._created
-            urgent = after.status is not before.status and is_news
+            # Confirming a backend of the first configuration as online is not urgent.
+            confirms_online = before.status is _UNKNOWN and after.status is _ONLINE
+            is_significant = not confirms_online or number in self._new_backends
+            urgent = after.status is not before.status and is_significant
             self._gossip.publish(number, now, urgent=urgent)
         if after.status is before.status:
             return []
-        self._note_change(number, before.status, after.status, now)
+        self._record_status_change(number, before.status, after.status, now)
         return [
             RecordTransition(
-                subject=f"backend/{self._known[number].backend.backend_id}",
+                subject=f"backend/{self._backends[number].backend.backend_id}",
                 before=before.status.name.lower(),
                 after=after.status.name.lower(),
                 reason=REASON_TEXTS[after.reason],
             )
         ]
 
-    def _note_change(
+    def _record_status_change(
         self,
         number: int,
         before: BackendOperatingStatus,
@@ -279,62 +280,64 @@
     ) -> None:
         inputs = self._inputs_of(number, now)
         inputs.since = now
-        new = before is BackendOperatingStatus.UNKNOWN and number in self._created
+        new = before is BackendOperatingStatus.UNKNOWN and number in self._new_backends
         if after is BackendOperatingStatus.ONLINE and (
             new or before is BackendOperatingStatus.OFFLINE
         ):
-            inputs.ramp_from = now
-        self._created.discard(number)
+            inputs.ramp_started_at = now
+        self._new_backends.discard(number)
 
-    def _record(self, number: int) -> StatusRecord:
-        """Return a backend's record; none means online, once a peer knows of nothing else either.
+    def _effective_record(self, number: int) -> StatusRecord:
+        """Return a backend's record, or the one that stands for a missing record.
 
-        A backend that came while this node ran is unknown until a watcher has found it online.
+        A missing record means online once exceptions are synchronized with a peer. Before that, and
+        for a backend added after the first configuration, it means unknown.
         """
         value = self._register.value(number)
-        if value or number in self._created or not self._gossip.agrees_on_exceptions:
+        if value or number in self._new_backends or not self._gossip.exceptions_synchronized:
             return decode_record(value)
-        return assumed_online()
+        return assumed_online_record()
 
     def _inputs_of(self, number: int, now: float) -> ViewInputs:
         inputs = self._inputs.get(number)
         if inputs is None:
-            inputs = ViewInputs(self._known[number].ramp_seconds, now)
+            inputs = ViewInputs(self._backends[number].ramp_seconds, now)
             self._inputs[number] = inputs
         return inputs
 
     def _evidence_of(self, backend_number: int) -> BackendEvidence | None:
-        known = self._known.get(backend_number)
-        if known is None:
+        """Return a backend's evidence and mark its service for comparison."""
+        entry = self._backends.get(backend_number)
+        if entry is None:
             return None
-        self._sampled_services.add(known.service_number)
+        self._sampled_services.add(entry.service_number)
         return self._evidence.setdefault(backend_number, BackendEvidence())
 
-    def _judge_reports(self, now: float) -> None:
+    def _compare_reports(self, now: float) -> None:
         sampled, self._sampled_services = self._sampled_services, set()
         for service_number in sampled:
-            self._judge_service(self._services.get(service_number, []), now)
+            self._compare_reports_of(self._backends_by_service.get(service_number, []), now)
 
-    def _judge_service(self, numbers: list[int], now: float) -> None:
+    def _compare_reports_of(self, numbers: list[int], now: float) -> None:
         evidence = {
             number: self._evidence[number] for number in numbers if number in self._evidence
         }
-        usual = usual_answer_seconds(evidence.values(), now)
+        median_seconds = median_answer_seconds(evidence.values(), now)
         for number, item in evidence.items():
-            weight_class = self._record(number).weight_class
-            judged = usual is not None and item.counts(now)
-            contradicted = judged and item.contradicts(weight_class, usual or 0.0, now)
+            weight_class = self._effective_record(number).weight_class
+            comparable = median_seconds is not None and item.has_enough_samples(now)
+            contradicted = comparable and item.contradicts(weight_class, median_seconds or 0.0, now)
             self._inputs_of(number, now).contradicted = contradicted
 
-    def _forget(self, number: int) -> None:
+    def _remove_backend(self, number: int) -> None:
         self._register.remove(number)
-        self._created.discard(number)
+        self._new_backends.discard(number)
         self._inputs.pop(number, None)
         self._evidence.pop(number, None)
 
 
-def _known_backend(service: ServiceContract, backend: Backend) -> _KnownBackend:
-    return _KnownBackend(
+def _backend_entry(service: ServiceContract, backend: Backend) -> _BackendEntry:
+    return _BackendEntry(
         backend=backend,
         service_number=service.service_number,
         check_interval=service.policy.backend_check_interval,
--- a/tests/unit/backend_status/fleet.py
+++ b/tests/unit/backend_status/fleet.py
@@ -53,7 +53,7 @@
     """Nodes on a lossy network; `checked(node, backend, now)` answers checks, None is silence."""
 
     def __init__(self, nodes: int, services: list[ServiceContract], seed: int = 1) -> None:
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.services = services
         self.now = 0.0
         self.loss = 0.0
@@ -69,34 +69,34 @@
         self._timers: dict[NodeId, float] = {}
         for index in range(nodes):
             self.add(index, announce=False)
-        self.announce()
+        self.update_members()
 
     def add(self, index: int, *, announce: bool = True) -> BackendWatchers:
         member = make_member(index)
         node_id = member.machine.node_id
-        watchers = BackendWatchers(node_id, random.Random(self.random.random()), self.now)
+        watchers = BackendWatchers(node_id, random.Random(self.rng.random()), self.now)
         watchers.update_backends(self.services, self.now)
         self.nodes[node_id] = watchers
         self.members[node_id] = member
         if announce:
-            self.announce()
+            self.update_members()
         return watchers
 
     def remove(self, node_id: NodeId) -> None:
         del self.nodes[node_id], self.members[node_id]
-        self.announce()
+        self.update_members()
 
-    def announce(self) -> None:
+    def update_members(self) -> None:
         members = list(self.members.values())
         for node_id, watchers in self.nodes.items():
             watchers.update_members(members, self.now)
-            self._arm(node_id)
+            self._schedule_poll(node_id)
 
     def update_services(self, services: list[ServiceContract]) -> None:
         self.services = services
         for node_id, watchers in self.nodes.items():
             watchers.update_backends(services, self.now)
-            self._arm(node_id)
+            self._schedule_poll(node_id)
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -105,13 +105,13 @@
             action()
         self.now = end
 
-    def carry_out(self, node_id: NodeId, commands: list[Command]) -> None:
+    def execute(self, node_id: NodeId, commands: list[Command]) -> None:
         for command in commands:
             if isinstance(command, SendMessage):
                 self._send(node_id, command)
             elif isinstance(command, CheckBackend):
                 self._check(node_id, command.backend_number)
-        self._arm(node_id)
+        self._schedule_poll(node_id)
 
     def _send(self, sender: NodeId, command: SendMessage) -> None:
         message = command.message
@@ -119,13 +119,13 @@
         self.sent_bytes[sender] += size
         self.sent_messages[type(message).__name__] += 1
         target = command.destination
-        if sender in self.isolated or target in self.isolated or self.random.random() < self.loss:
+        if sender in self.isolated or target in self.isolated or self.rng.random() < self.loss:
             return
 
         def deliver() -> None:
             node = self.nodes.get(target)
             if node is not None:
-                self.carry_out(target, node.handle_message(sender, message, self.now))
+                self.execute(target, node.handle_message(sender, message, self.now))
 
         self._at(self.now + self.delay, deliver)
 
@@ -139,11 +139,11 @@
         def deliver() -> None:
             node = self.nodes.get(node_id)
             if node is not None:
-                self.carry_out(node_id, node.backend_checked(answer, self.now))
+                self.execute(node_id, node.backend_checked(answer, self.now))
 
         self._at(self.now + 0.005, deliver)
 
-    def _arm(self, node_id: NodeId) -> None:
+    def _schedule_poll(self, node_id: NodeId) -> None:
         node = self.nodes.get(node_id)
         at = node.next_timer() if node is not None else None
         known = self._timers.get(node_id)
@@ -155,7 +155,7 @@
             if self._timers.get(node_id) != at or node_id not in self.nodes:
                 return
             del self._timers[node_id]
-            self.carry_out(node_id, self.nodes[node_id].poll(self.now))
+            self.execute(node_id, self.nodes[node_id].poll(self.now))
 
         self._at(max(self.now, at), fire)
 
--- a/tests/unit/backend_status/test_exceptions.py
+++ b/tests/unit/backend_status/test_exceptions.py
@@ -53,7 +53,7 @@
             flat = [item for record in records[start : start + 60] for item in record]
             batch = StatusBatch(flat, fresh)
             node = self.fleet.nodes[node_id]
-            self.fleet.carry_out(node_id, node.handle_message(WRITER, batch, self.fleet.now))
+            self.fleet.execute(node_id, node.handle_message(WRITER, batch, self.fleet.now))
 
     def statuses(self, number: int) -> set[Status]:
         return {node.status(number, self.fleet.now).status for node in self.fleet.nodes.values()}
--- a/tests/unit/backend_status/test_gossip.py
+++ b/tests/unit/backend_status/test_gossip.py
@@ -45,7 +45,7 @@
         node_id = NodeId(f"node-{node}")
         batch = StatusBatch([number, value], True)
         commands = self.fleet.nodes[node_id].handle_message(NodeId("writer"), batch, self.fleet.now)
-        self.fleet.carry_out(node_id, commands)
+        self.fleet.execute(node_id, commands)
         self.newest[number] = max(self.newest.get(number, 0), value)
 
     @rule(seconds=st.floats(0.1, 20.0), loss=st.sampled_from([0.0, 0.3, 0.9]))
@@ -91,7 +91,7 @@
         statuses = (BackendOperatingStatus.SHEDDING, BackendOperatingStatus.ONLINE)
         for step in range(60):
             epoch += 1
-            for number in fleet.random.sample(numbers, 100):
+            for number in fleet.rng.sample(numbers, 100):
                 record = StatusRecord(epoch, True, StatusReason.NONE, 6, statuses[step % 2])
                 batch = StatusBatch([number, record.encode()], True)
                 fleet.nodes[NodeId("node-0")].handle_message(NodeId("x"), batch, fleet.now)
--- a/tests/unit/backend_status/test_load_reports.py
+++ b/tests/unit/backend_status/test_load_reports.py
@@ -4,21 +4,21 @@
 
 from beamloom.replication.backend_status.evidence import BackendEvidence
 from beamloom.replication.backend_status.load_reports import (
+    CLASS_CHANGE_INTERVAL,
     CLASS_COUNT,
-    MOVE_INTERVAL,
     NEUTRAL_CLASS,
-    LoadReport,
+    LoadTracker,
     class_factor,
 )
 
 
 def run_report(loads: list[float], *, others_move: bool = False) -> list[int]:
-    report = LoadReport(0.0)
+    report = LoadTracker(0.0)
     classes = []
     for step, load in enumerate(loads):
         now = 2.0 * step
         report.observe(load, now)
-        report.judge(others_move=others_move, now=now)
+        report.update_class(others_changing=others_move, now=now)
         classes.append(report.weight_class)
     return classes
 
@@ -32,7 +32,7 @@
         for load, bound in ((1e9, 0), (0.0, CLASS_COUNT - 1)):
             classes = run_report([load] * 100)
             self.assertEqual(classes[-1], bound)
-            steps = int(MOVE_INTERVAL / 2)
+            steps = int(CLASS_CHANGE_INTERVAL / 2)
             for earlier, later in zip(classes, classes[steps - 1 :], strict=False):
                 self.assertLessEqual(abs(later - earlier), 1)
         self.assertEqual((class_factor(0), class_factor(NEUTRAL_CLASS)), (0.25, 1.0))
@@ -58,7 +58,7 @@
         self.assertTrue(quick.contradicts(0, 0.1, 30.0))
         self.assertFalse(slow.contradicts(0, 0.1, 30.0))
         self.assertFalse(quick.contradicts(NEUTRAL_CLASS, 0.1, 30.0))
-        self.assertFalse(quick.counts(1000.0))
+        self.assertFalse(quick.has_enough_samples(1000.0))
 
 
 if __name__ == "__main__":
