--- a/tests/unit/backend_status/fleet.py
+++ b/tests/unit/backend_status/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of `BackendWatchers` in memory, on virtual time, for tests and measurements."""
+"""An in-memory fleet of `BackendWatchers` on virtual time, for tests and measurements."""
 
 import heapq
 import itertools
@@ -50,7 +50,7 @@
 
 
 class Fleet:
-    """Nodes on a lossy network; `checked(node, backend, now)` answers checks, None is silence."""
+    """Nodes on a lossy network; `checked(node, backend, now)` answers a check unless None."""
 
     def __init__(self, nodes: int, services: list[ServiceContract], seed: int = 1) -> None:
         self.rng = random.Random(seed)
@@ -127,7 +127,7 @@
             if node is not None:
                 self.execute(target, node.handle_message(sender, message, self.now))
 
-        self._at(self.now + self.delay, deliver)
+        self._schedule(self.now + self.delay, deliver)
 
     def _check(self, node_id: NodeId, backend_number: int) -> None:
         answer = None
@@ -141,26 +141,26 @@
             if node is not None:
                 self.execute(node_id, node.backend_checked(answer, self.now))
 
-        self._at(self.now + 0.005, deliver)
+        self._schedule(self.now + 0.005, deliver)
 
     def _schedule_poll(self, node_id: NodeId) -> None:
         node = self.nodes.get(node_id)
-        at = node.next_timer() if node is not None else None
-        known = self._timers.get(node_id)
-        if at is None or (known is not None and self.now <= known <= at):
+        due = node.next_timer() if node is not None else None
+        scheduled_at = self._timers.get(node_id)
+        if due is None or (scheduled_at is not None and self.now <= scheduled_at <= due):
             return
-        self._timers[node_id] = at
+        self._timers[node_id] = due
 
         def fire() -> None:
-            if self._timers.get(node_id) != at or node_id not in self.nodes:
+            if self._timers.get(node_id) != due or node_id not in self.nodes:
                 return
             del self._timers[node_id]
             self.execute(node_id, self.nodes[node_id].poll(self.now))
 
-        self._at(max(self.now, at), fire)
+        self._schedule(max(self.now, due), fire)
 
-    def _at(self, moment: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (moment, next(self._sequence), action))
+    def _schedule(self, time: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (time, next(self._sequence), action))
 
 
 def healthy_answer(node_id: NodeId, backend_number: int, now: float) -> BackendChecked:
--- a/tests/unit/backend_status/test_assignment.py
+++ b/tests/unit/backend_status/test_assignment.py
@@ -9,7 +9,7 @@
 NUMBERS = range(1, 201)
 
 
-def fresh(members: list) -> WatcherAssignment:
+def assign_watchers(members: list) -> WatcherAssignment:
     assignment = WatcherAssignment()
     assignment.update_backends(NUMBERS)
     assignment.update_members(members)
@@ -17,19 +17,19 @@
 
 
 class WatcherAssignmentTest(unittest.TestCase):
-    def test_few_or_no_members_leave_fewer_watchers(self) -> None:
-        self.assertEqual(fresh([]).watchers(1), ())
-        self.assertEqual(fresh([make_member(0)]).watchers(1), ("node-0",))
-        self.assertEqual(fresh([make_member(0)]).watched_by(NodeId("node-9")), [])
-        one_zone = fresh([make_member(0, zones=1), make_member(1, zones=1)])
+    def test_number_of_watchers_is_limited_by_the_number_of_members(self) -> None:
+        self.assertEqual(assign_watchers([]).watchers(1), ())
+        self.assertEqual(assign_watchers([make_member(0)]).watchers(1), ("node-0",))
+        self.assertEqual(assign_watchers([make_member(0)]).watched_by(NodeId("node-9")), [])
+        one_zone = assign_watchers([make_member(0, zones=1), make_member(1, zones=1)])
         self.assertEqual(set(one_zone.watchers(1)), {"node-0", "node-1"})
 
-    def test_members_that_may_not_be_home_watch_nothing(self) -> None:
+    def test_leaving_members_watch_no_backend(self) -> None:
         leaving = make_member(0, state=MemberState.LEAVING)
-        self.assertEqual(fresh([leaving, make_member(1)]).watchers(5), ("node-1",))
+        self.assertEqual(assign_watchers([leaving, make_member(1)]).watchers(5), ("node-1",))
 
-    def test_watchers_differ_in_zone_and_the_load_is_spread(self) -> None:
-        assignment = fresh([make_member(index) for index in range(20)])
+    def test_watchers_are_in_different_zones_and_evenly_spread(self) -> None:
+        assignment = assign_watchers([make_member(index) for index in range(20)])
         counts: Counter[str] = Counter()
         for number in NUMBERS:
             first, second = assignment.watchers(number)
@@ -38,21 +38,21 @@
             counts.update((first, second))
         self.assertLess(max(counts.values()), 2.5 * 2 * len(NUMBERS) / 20)
 
-    def test_any_order_of_changes_gives_the_same_as_a_fresh_start(self) -> None:
-        source = random.Random(3)
+    def test_incremental_updates_give_the_same_result_as_a_full_computation(self) -> None:
+        rng = random.Random(3)
         for zones in (1, 2, 3):
             present: dict[int, object] = {}
-            kept = fresh([])
+            incremental = assign_watchers([])
             for _ in range(60):
-                index = source.randrange(12)
+                index = rng.randrange(12)
                 if index in present:
                     del present[index]
                 else:
                     present[index] = make_member(index, zones)
-                kept.update_members(list(present.values()))
-                expected = fresh(list(present.values()))
+                incremental.update_members(list(present.values()))
+                expected = assign_watchers(list(present.values()))
                 for number in NUMBERS:
-                    self.assertEqual(kept.watchers(number), expected.watchers(number))
+                    self.assertEqual(incremental.watchers(number), expected.watchers(number))
 
 
 if __name__ == "__main__":
--- a/tests/unit/backend_status/test_exceptions.py
+++ b/tests/unit/backend_status/test_exceptions.py
@@ -1,4 +1,4 @@
-"""Offline and shedding backends are repaired by digests of their own, ahead of weights."""
+"""Offline and shedding records spread by their own digest, even if all weights differ."""
 
 import unittest
 
@@ -48,7 +48,9 @@
         self.fleet.checked = lambda node, number, now: None
         self.numbers = [b.backend_number for s in self.fleet.services for b in s.backends]
 
-    def tell(self, node_id: NodeId, records: list[tuple[int, int]], *, fresh: bool) -> None:
+    def deliver_records(
+        self, node_id: NodeId, records: list[tuple[int, int]], *, fresh: bool
+    ) -> None:
         for start in range(0, len(records), 60):
             flat = [item for record in records[start : start + 60] for item in record]
             batch = StatusBatch(flat, fresh)
@@ -58,42 +60,42 @@
     def statuses(self, number: int) -> set[Status]:
         return {node.status(number, self.fleet.now).status for node in self.fleet.nodes.values()}
 
-    def drift_everywhere(self) -> None:
-        """Give each node other weights for each backend: all buckets differ everywhere."""
+    def diverge_weights(self) -> None:
+        """Give each node different weights for every backend, so that all buckets differ."""
         for epoch, node_id in enumerate(self.fleet.nodes, start=1):
             records = [(n, value(epoch, Status.ONLINE, epoch % 8)) for n in self.numbers]
-            self.tell(node_id, records, fresh=False)
+            self.deliver_records(node_id, records, fresh=False)
 
-    def test_offline_arrives_by_repair_though_all_weights_differ(self) -> None:
-        self.drift_everywhere()
-        self.tell(FIRST, [(BACKEND, value(100, Status.OFFLINE))], fresh=False)
+    def test_offline_record_spreads_by_digests_while_all_weights_differ(self) -> None:
+        self.diverge_weights()
+        self.deliver_records(FIRST, [(BACKEND, value(100, Status.OFFLINE))], fresh=False)
         self.fleet.run(4 * REPAIR_SECONDS)
         self.assertEqual(self.statuses(BACKEND), {Status.OFFLINE})
 
-    def test_online_again_reaches_nodes_that_hold_it_for_offline(self) -> None:
+    def test_newer_online_record_replaces_offline_on_all_nodes(self) -> None:
         for node_id in self.fleet.nodes:
-            self.tell(node_id, [(BACKEND, value(1, Status.OFFLINE))], fresh=False)
-        self.tell(LAST, [(BACKEND, value(2, Status.ONLINE))], fresh=False)
-        self.drift_everywhere()
+            self.deliver_records(node_id, [(BACKEND, value(1, Status.OFFLINE))], fresh=False)
+        self.deliver_records(LAST, [(BACKEND, value(2, Status.ONLINE))], fresh=False)
+        self.diverge_weights()
         self.fleet.run(4 * REPAIR_SECONDS)
         self.assertNotIn(Status.OFFLINE, self.statuses(BACKEND))
 
-    def test_more_exceptions_than_fit_arrive_in_parts(self) -> None:
+    def test_exceptions_that_exceed_one_message_arrive_in_parts(self) -> None:
         many = self.numbers[: 2 * MAXIMUM_RECORDS_OF_REPAIR]
-        self.tell(FIRST, [(n, value(1, Status.OFFLINE)) for n in many], fresh=False)
+        self.deliver_records(FIRST, [(n, value(1, Status.OFFLINE)) for n in many], fresh=False)
         self.fleet.run(90.0)
         for number in many:
             self.assertEqual(self.statuses(number), {Status.OFFLINE})
 
-    def test_a_reply_with_an_old_record_is_answered_with_the_newer_one(self) -> None:
-        self.tell(FIRST, [(BACKEND, value(5, Status.ONLINE))], fresh=False)
-        stale = StatusExceptions([BACKEND, value(4, Status.OFFLINE)], True, False)
-        commands = self.fleet.nodes[FIRST].handle_message(LAST, stale, self.fleet.now)
+    def test_exceptions_with_an_outdated_record_are_answered_with_the_newer_one(self) -> None:
+        self.deliver_records(FIRST, [(BACKEND, value(5, Status.ONLINE))], fresh=False)
+        outdated = StatusExceptions([BACKEND, value(4, Status.OFFLINE)], True, False)
+        commands = self.fleet.nodes[FIRST].handle_message(LAST, outdated, self.fleet.now)
         answers = [c.message for c in commands if hasattr(c, "message")]
         newer = StatusExceptions([BACKEND, value(5, Status.ONLINE)], True, False)
         self.assertEqual(answers, [newer])
 
-    def test_too_many_records_are_refused(self) -> None:
+    def test_message_with_too_many_records_is_rejected(self) -> None:
         with self.assertRaises(ValueError):
             StatusExceptions([1, 1] * (MAXIMUM_RECORDS_OF_REPAIR + 1), True, True)
 
--- a/tests/unit/backend_status/test_gossip.py
+++ b/tests/unit/backend_status/test_gossip.py
@@ -1,4 +1,4 @@
-"""Status gossip against an oracle: the greatest value ever written for each backend."""
+"""Model-based test of status gossip: the model is the greatest value written per backend."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 
 
 class StatusGossipMachine(RuleBasedStateMachine):
-    """Records enter at any node while nodes restart and links lose messages, then it is quiet."""
+    """Records enter at any node during isolation and message loss; afterwards all nodes agree."""
 
     @initialize(seed=st.integers(0, 1000))
     def start(self, seed: int) -> None:
@@ -82,7 +82,7 @@
 
 
 class RateLimitTest(unittest.TestCase):
-    def test_flood_of_changes_stays_under_the_rate_and_still_arrives(self) -> None:
+    def test_many_changes_stay_within_the_rate_limit_and_reach_all_nodes(self) -> None:
         fleet = Fleet(8, make_services(40, 10))
         fleet.run(10.0)
         fleet.sent_bytes.clear()
--- a/tests/unit/backend_status/test_load_reports.py
+++ b/tests/unit/backend_status/test_load_reports.py
@@ -12,44 +12,44 @@
 )
 
 
-def run_report(loads: list[float], *, others_move: bool = False) -> list[int]:
-    report = LoadTracker(0.0)
+def weight_classes(loads: list[float], *, others_changing: bool = False) -> list[int]:
+    tracker = LoadTracker(0.0)
     classes = []
     for step, load in enumerate(loads):
         now = 2.0 * step
-        report.observe(load, now)
-        report.update_class(others_changing=others_move, now=now)
-        classes.append(report.weight_class)
+        tracker.observe(load, now)
+        tracker.update_class(others_changing=others_changing, now=now)
+        classes.append(tracker.weight_class)
     return classes
 
 
 class LoadReportTest(unittest.TestCase):
-    def test_values_that_are_no_load_move_nothing(self) -> None:
+    def test_invalid_loads_leave_the_class_unchanged(self) -> None:
         loads = [math.nan, math.inf, -1.0, -math.inf] * 30
-        self.assertEqual(set(run_report(loads)), {NEUTRAL_CLASS})
+        self.assertEqual(set(weight_classes(loads)), {NEUTRAL_CLASS})
 
-    def test_weight_stays_within_its_bounds_and_moves_one_class_at_a_time(self) -> None:
+    def test_class_stays_within_its_bounds_and_changes_in_single_steps(self) -> None:
         for load, bound in ((1e9, 0), (0.0, CLASS_COUNT - 1)):
-            classes = run_report([load] * 100)
+            classes = weight_classes([load] * 100)
             self.assertEqual(classes[-1], bound)
             steps = int(CLASS_CHANGE_INTERVAL / 2)
             for earlier, later in zip(classes, classes[steps - 1 :], strict=False):
                 self.assertLessEqual(abs(later - earlier), 1)
         self.assertEqual((class_factor(0), class_factor(NEUTRAL_CLASS)), (0.25, 1.0))
 
-    def test_noise_at_the_border_of_a_class_does_not_flap(self) -> None:
+    def test_noise_at_a_class_boundary_does_not_cause_flapping(self) -> None:
         loads = [0.62 if step % 2 else 0.64 for step in range(500)]
-        classes = run_report(loads)
+        classes = weight_classes(loads)
         changes = sum(first != second for first, second in itertools.pairwise(classes))
         self.assertLessEqual(changes, 1)
 
-    def test_frozen_report_returns_to_neutral_only_while_others_move(self) -> None:
-        self.assertEqual(run_report([2.0] * 200, others_move=True)[-1], NEUTRAL_CLASS)
-        self.assertEqual(run_report([2.0] * 200, others_move=False)[-1], 0)
+    def test_frozen_report_returns_to_neutral_only_while_others_change(self) -> None:
+        self.assertEqual(weight_classes([2.0] * 200, others_changing=True)[-1], NEUTRAL_CLASS)
+        self.assertEqual(weight_classes([2.0] * 200, others_changing=False)[-1], 0)
 
 
 class BackendEvidenceTest(unittest.TestCase):
-    def test_report_at_odds_with_observations_is_contradicted(self) -> None:
+    def test_observations_contradict_reports_that_are_too_high_or_too_low(self) -> None:
         slow, quick = BackendEvidence(), BackendEvidence()
         for step in range(30):
             slow.add_answer_time(0.5, float(step))
--- a/tests/unit/backend_status/test_watchers.py
+++ b/tests/unit/backend_status/test_watchers.py
@@ -36,7 +36,7 @@
         self.fleet.run(30.0)
         self.watchers = self.fleet.nodes[NodeId("node-0")].watchers(BACKEND)
 
-    def test_failed_backend_is_offline_everywhere_and_comes_back_with_a_ramp(self) -> None:
+    def test_failed_backend_is_offline_everywhere_and_returns_with_a_cold_start(self) -> None:
         self.assertEqual(statuses(self.fleet), {Status.ONLINE})
         self.fleet.checked = failing(BACKEND)
         self.fleet.run(14.0)
@@ -58,23 +58,23 @@
             self.fleet.run(10.0)
             self.assertEqual(statuses(self.fleet, number), {Status.OFFLINE})
 
-    def test_one_failed_check_is_asked_again_soon_and_changes_nothing(self) -> None:
-        asked: list[float] = []
+    def test_failed_check_is_repeated_soon_and_alone_changes_no_status(self) -> None:
+        check_times: list[float] = []
 
         def fail_once(node_id: NodeId, number: int, now: float) -> BackendChecked | None:
             if (node_id, number) == (self.watchers[0], BACKEND):
-                asked.append(now)
-                return BackendChecked(number, len(asked) != 2, False, 0.5, 0.005)
+                check_times.append(now)
+                return BackendChecked(number, len(check_times) != 2, False, 0.5, 0.005)
             return healthy_answer(node_id, number, now)
 
         self.fleet.checked = fail_once
         self.fleet.run(12.0)
-        gaps = [later - earlier for earlier, later in itertools.pairwise(asked)]
+        gaps = [later - earlier for earlier, later in itertools.pairwise(check_times)]
         self.assertLess(gaps[1], 1.2)
         self.assertGreater(min(gaps[0], *gaps[2:]), 1.7)
         self.assertEqual(statuses(self.fleet), {Status.ONLINE})
 
-    def test_one_watcher_alone_cannot_take_a_backend_out(self) -> None:
+    def test_failures_at_one_watcher_only_do_not_take_a_backend_offline(self) -> None:
         for watcher in self.watchers:
             self.fleet.checked = failing(BACKEND, seen_by={watcher})
             self.fleet.run(60.0)
@@ -91,7 +91,7 @@
         }
         self.assertEqual(seen, {Status.OFFLINE})
 
-    def test_cut_off_watcher_distrusts_itself_and_leaves_no_false_status_behind(self) -> None:
+    def test_isolated_watcher_suspects_a_local_fault_and_causes_no_false_status(self) -> None:
         self.fleet.isolated = {self.watchers[0]}
         self.fleet.run(60.0)
         self.assertTrue(self.fleet.nodes[self.watchers[0]].snapshot().distrusts_itself)
@@ -102,7 +102,7 @@
         self.assertFalse(self.fleet.nodes[self.watchers[0]].snapshot().distrusts_itself)
         self.assertEqual(statuses(self.fleet), {Status.ONLINE})
 
-    def test_both_watchers_lost_others_take_over(self) -> None:
+    def test_other_nodes_take_over_when_both_watchers_are_lost(self) -> None:
         for watcher in self.watchers:
             self.fleet.remove(watcher)
         self.fleet.checked = failing(BACKEND)
@@ -118,7 +118,7 @@
         view = self.fleet.nodes[NodeId("node-0")].status(BACKEND, self.fleet.now)
         self.assertEqual(view.weight_factor, 0.0)
 
-    def test_joining_node_learns_every_status_and_ramps_nothing(self) -> None:
+    def test_joining_node_receives_every_status_and_starts_no_cold_start(self) -> None:
         self.fleet.checked = failing(BACKEND)
         self.fleet.run(20.0)
         joined = self.fleet.add(50)
@@ -131,18 +131,18 @@
             self.assertEqual(dict(joined.records()), dict(node.records()))
         self.assertEqual([number for number, _ in joined.records()], [BACKEND])
 
-    def test_start_of_a_fleet_needs_no_records_to_find_all_online(self) -> None:
+    def test_new_fleet_considers_all_backends_online_without_records(self) -> None:
         for number in range(BACKEND, BACKEND + 7):
             self.assertEqual(statuses(self.fleet, number), {Status.ONLINE})
         self.assertEqual({node.snapshot().records for node in self.fleet.nodes.values()}, {0})
 
-    def test_a_node_that_has_heard_nobody_calls_nothing_online(self) -> None:
+    def test_nodes_that_never_reached_a_peer_report_unknown(self) -> None:
         fleet = Fleet(3, make_services(1, 3))
         fleet.isolated = set(fleet.nodes)
         fleet.run(60.0)
         self.assertEqual(statuses(fleet), {Status.UNKNOWN})
 
-    def test_a_backend_down_from_the_start_is_offline_everywhere(self) -> None:
+    def test_backend_down_from_the_start_is_offline_everywhere(self) -> None:
         fleet = Fleet(9, make_services(3, 7), seed=2)
         fleet.checked = failing(BACKEND)
         fleet.run(14.0)
@@ -155,7 +155,7 @@
         self.assertEqual(view.status, Status.ONLINE)
         self.assertLess(view.weight_factor, 0.4)
 
-    def test_deleted_backend_is_forgotten(self) -> None:
+    def test_records_of_deleted_backends_are_removed(self) -> None:
         self.fleet.checked = failing(BACKEND, BACKEND + 16)
         self.fleet.run(14.0)
         self.assertEqual(self.fleet.nodes[NodeId("node-0")].snapshot().records, 2)
@@ -176,7 +176,7 @@
         other = self.fleet.nodes[NodeId("node-1")]
         self.assertEqual(other.status(BACKEND, self.fleet.now).weight_factor, 1.0)
 
-    def test_lying_load_report_loses_its_say_at_a_home_that_knows_better(self) -> None:
+    def test_load_report_contradicted_by_answer_times_is_ignored(self) -> None:
         self.fleet.checked = lambda node, number, now: BackendChecked(
             number, True, False, (5.0 if number == BACKEND else 0.5) + now / 1e6, 0.005
         )
@@ -192,14 +192,14 @@
 
 
 class RecordTest(unittest.TestCase):
-    def test_newer_epoch_wins_then_the_first_watcher(self) -> None:
+    def test_records_are_ordered_by_epoch_then_by_first_watcher(self) -> None:
         def value(epoch: int, first: bool, status: Status) -> int:
             return StatusRecord(epoch, first, StatusReason.NONE, NEUTRAL_CLASS, status).encode()
 
         self.assertGreater(value(3, False, Status.ONLINE), value(2, True, Status.OFFLINE))
         self.assertGreater(value(2, True, Status.ONLINE), value(2, False, Status.OFFLINE))
 
-    def test_malformed_records_are_refused_by_the_codec(self) -> None:
+    def test_malformed_messages_are_rejected_by_the_codec(self) -> None:
         good = message_to_list(StatusBatch([1, 2], True))
         self.assertEqual(message_from_list(good), StatusBatch([1, 2], True))
         for bad in (
@@ -212,7 +212,7 @@
             with self.subTest(bad=bad), self.assertRaises(MalformedDatagramError):
                 message_from_list(bad)
 
-    def test_records_of_unknown_backends_are_counted_not_kept(self) -> None:
+    def test_records_of_unknown_backends_are_counted_but_not_stored(self) -> None:
         node = BackendWatchers(NodeId("n"), random.Random(1), 0.0)
         node.update_backends(make_services(1, 2, ServicePolicy()), 0.0)
         node.handle_message(NodeId("m"), StatusBatch([7, 1 << 20, BACKEND, -5], True), 0.0)
