--- a/src/beamloom/replication/backend_status/checking.py
+++ b/src/beamloom/replication/backend_status/checking.py
@@ -58,7 +58,7 @@
 
     @property
     def suspects_local_fault(self) -> bool:
-        """Whether the last checks of all backends failed, at least two: likely a local fault."""
+        """Whether every last check failed, of at least two backends: probably a local fault."""
         return self._with_outcome >= MINIMUM_FOR_LOCAL_FAULT and self._failing == self._with_outcome
 
     def update(
@@ -112,7 +112,7 @@
         return commands + self._reconcile(item, now)
 
     def poll(self, now: float) -> list[Command]:
-        """Start the checks that are due; a previous check that is still outstanding has failed."""
+        """Start the checks that are due; one that is still outstanding by then has failed."""
         commands: list[Command] = []
         while self._check_schedule and self._check_schedule[0][0] <= now:
             due, number = heapq.heappop(self._check_schedule)
@@ -158,7 +158,10 @@
         return self._reconcile(item, now)
 
     def _reconcile(self, item: WatchedBackend, now: float) -> list[Command]:
-        """If the own status differs from the register, publish it or ask the other watcher."""
+        """Publish a status that differs from the register, or ask the other watcher about it.
+
+        If the status is the same, only the weight class is compared.
+        """
         status = item.health.status
         if status is BackendOperatingStatus.UNKNOWN or self.suspects_local_fault:
             return []
@@ -186,6 +189,7 @@
         )
 
     def _reconcile_weight(self, item: WatchedBackend, current: StatusRecord, now: float) -> None:
+        """Publish the first watcher's weight class if it changed and the interval has passed."""
         if not item.is_first or current.status is not BackendOperatingStatus.ONLINE:
             return
         item.load_reports.update_class(
@@ -201,7 +205,10 @@
         self._queue_record(item.backend.backend_number, item.next_record(current, reason))
 
     def _others_are_changing(self, item: WatchedBackend, now: float) -> bool:
-        """Return whether half or more of the other reports changed recently but not this one."""
+        """Return whether this backend's load report is unchanged while others change.
+
+        At least half of the other watched backends' reports must have changed recently.
+        """
         if now - item.load_reports.unchanged_since < FROZEN_AFTER:
             return False
         others = [other for other in self._watched.values() if other is not item]
