--- a/tests/unit/backend_status/test_gossip.py
+++ b/tests/unit/backend_status/test_gossip.py
@@ -1,4 +1,4 @@
-"""Status gossip against an oracle: the greatest value ever written for each backend."""
+"""Model-based test of status gossip: the model is the greatest value written per backend."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 
 
 class StatusGossipMachine(RuleBasedStateMachine):
-    """Records enter at any node while nodes restart and links lose messages, then it is quiet."""
+    """Records enter at any node during isolation and message loss; afterwards all nodes agree."""
 
     @initialize(seed=st.integers(0, 1000))
     def start(self, seed: int) -> None:
@@ -45,7 +45,7 @@
         node_id = NodeId(f"node-{node}")
         batch = StatusBatch([number, value], True)
         commands = self.fleet.nodes[node_id].handle_message(NodeId("writer"), batch, self.fleet.now)
-        self.fleet.carry_out(node_id, commands)
+        self.fleet.execute(node_id, commands)
         self.newest[number] = max(self.newest.get(number, 0), value)
 
     @rule(seconds=st.floats(0.1, 20.0), loss=st.sampled_from([0.0, 0.3, 0.9]))
@@ -82,7 +82,7 @@
 
 
 class RateLimitTest(unittest.TestCase):
-    def test_flood_of_changes_stays_under_the_rate_and_still_arrives(self) -> None:
+    def test_many_changes_stay_within_the_rate_limit_and_reach_all_nodes(self) -> None:
         fleet = Fleet(8, make_services(40, 10))
         fleet.run(10.0)
         fleet.sent_bytes.clear()
@@ -91,7 +91,7 @@
         statuses = (BackendOperatingStatus.SHEDDING, BackendOperatingStatus.ONLINE)
         for step in range(60):
             epoch += 1
-            for number in fleet.random.sample(numbers, 100):
+            for number in fleet.rng.sample(numbers, 100):
                 record = StatusRecord(epoch, True, StatusReason.NONE, 6, statuses[step % 2])
                 batch = StatusBatch([number, record.encode()], True)
                 fleet.nodes[NodeId("node-0")].handle_message(NodeId("x"), batch, fleet.now)
