--- a/src/beamloom/runtime/__init__.py
+++ b/src/beamloom/runtime/__init__.py
@@ -3,6 +3,6 @@
 import time
 
 IMPORTED_AT_SECONDS = time.monotonic()
-"""Of the steady clock. This package is the first of a node's own code that runs."""
+"""Monotonic time of this import, which is among the first steps of a node's start."""
 IMPORTED_AT_PROCESSOR_SECONDS = time.process_time()
-"""Processor time that the process had used by then: the interpreter's own start."""
+"""Processor time used until then, mostly by the start of the interpreter."""
--- a/src/beamloom/runtime/admin.py
+++ b/src/beamloom/runtime/admin.py
@@ -1,8 +1,8 @@
 """The admin API of a node: health, metrics, status and explanations over HTTP or HTTPS.
 
-`/healthz` (the process lives) and `/readyz` (packets may be sent to it; 503 with the reason) are
-open. All else needs the bearer token (RFC 6750); without a token file nothing else is answered.
-Errors are `{"error": TEXT}` and the text names the remedy.
+`/healthz` (the process is running) and `/readyz` (the node accepts packets; otherwise 503 with the
+reason) need no authentication. All other paths need the bearer token (RFC 6750) and return 401 if
+no token file is configured. Errors are returned as `{"error": TEXT}`.
 """
 
 from __future__ import annotations
@@ -35,27 +35,29 @@
 EXPLAIN_SETTING_PATH = "/v1/explain/setting"
 EXPLAIN_BACKEND_PATH = "/v1/explain/backend"
 EXPLAIN_FLOW_PATH = "/v1/explain/flow"
-OPEN_PATHS = frozenset({HEALTH_PATH, READY_PATH})
+UNAUTHENTICATED_PATHS = frozenset({HEALTH_PATH, READY_PATH})
 
-IN_FORCE_WAIT_SECONDS = 1.0
-IN_FORCE_CHECK_SECONDS = 0.02
-SHUTDOWN_SECONDS = 1.0
-LARGEST_PORT = 65_535
-NO_TOKEN = "this node has no admin token; set admin.token_file in its settings"
-WRONG_TOKEN = "send Authorization: Bearer TOKEN with the token of this node's admin.token_file"
+IN_FORCE_TIMEOUT_SECONDS = 1.0
+IN_FORCE_POLL_SECONDS = 0.02
+SHUTDOWN_TIMEOUT_SECONDS = 1.0
+MAXIMUM_PORT = 65_535
+NO_TOKEN_ERROR = "this node has no admin token; set admin.token_file in its settings"
+WRONG_TOKEN_ERROR = (
+    "send Authorization: Bearer TOKEN with the token of this node's admin.token_file"
+)
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 class BadParameterError(Exception):
-    """A query parameter is missing or cannot be read."""
+    """A query parameter is missing or malformed."""
 
     def __init__(self, name: str, expected: str) -> None:
         super().__init__(f"query parameter {name} is missing or unreadable; give {expected}")
 
 
 class AdminServer:
-    """Serves one node; `start` returns the bound address (port 0 takes any free port)."""
+    """Serves the admin API of one node."""
 
     def __init__(
         self,
@@ -71,13 +73,13 @@
         self._registry = make_registry(read_metrics)
         self._authorization = None if token is None else f"Bearer {token}".encode()
         self._tls = tls
-        self._question = asyncio.Lock()
+        self._in_force_lock = asyncio.Lock()
         self._runner: web.AppRunner | None = None
 
     async def start(self, address: SocketAddress) -> SocketAddress:
-        """Listen; raises OSError when the address is taken."""
+        """Listen and return the bound address; raises OSError if the address cannot be bound."""
         runner = web.AppRunner(
-            self._application(), access_log=None, shutdown_timeout=SHUTDOWN_SECONDS
+            self._application(), access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS
         )
         await runner.setup()
         try:
@@ -96,7 +98,7 @@
             await runner.cleanup()
 
     def _application(self) -> web.Application:
-        application = web.Application(middlewares=[self._guard])
+        application = web.Application(middlewares=[self._handle_request])
         for path, handler in (
             (HEALTH_PATH, self._health),
             (READY_PATH, self._ready),
@@ -111,37 +113,44 @@
         return application
 
     @web.middleware
-    async def _guard(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        if request.path not in OPEN_PATHS and (refusal := self._refusal(request)) is not None:
+    async def _handle_request(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+        if (
+            request.path not in UNAUTHENTICATED_PATHS
+            and (error_text := self._authorization_error(request)) is not None
+        ):
             self.counters["unauthorized"] += 1
-            return _failure(HttpStatus.UNAUTHORIZED, refusal)
+            return _error_response(HttpStatus.UNAUTHORIZED, error_text)
         try:
             response = await handler(request)
         except BadParameterError as error:
-            return _failure(HttpStatus.BAD_REQUEST, str(error))
+            return _error_response(HttpStatus.BAD_REQUEST, str(error))
         except SettingsError as error:
-            return _failure(HttpStatus.NOT_FOUND, str(error))
+            return _error_response(HttpStatus.NOT_FOUND, str(error))
         except web.HTTPException as error:
-            return _failure(HttpStatus(error.status), f"{request.path}: {error.reason}")
+            return _error_response(HttpStatus(error.status), f"{request.path}: {error.reason}")
         except Exception as error:
             self._balancer.faults.record(FaultSource.ADMIN_REQUEST, error)
-            return _failure(HttpStatus.INTERNAL_SERVER_ERROR, "internal fault; see the node's log")
+            return _error_response(
+                HttpStatus.INTERNAL_SERVER_ERROR, "internal fault; see the node's log"
+            )
         self.counters["answered"] += 1
         return response
 
-    def _refusal(self, request: web.Request) -> str | None:
+    def _authorization_error(self, request: web.Request) -> str | None:
         if self._authorization is None:
-            return NO_TOKEN
-        given = request.headers.get("Authorization", "").encode(errors="replace")
-        return None if hmac.compare_digest(given, self._authorization) else WRONG_TOKEN
+            return NO_TOKEN_ERROR
+        header = request.headers.get("Authorization", "").encode(errors="replace")
+        return None if hmac.compare_digest(header, self._authorization) else WRONG_TOKEN_ERROR
 
     async def _health(self, request: web.Request) -> web.Response:
         return web.json_response({"alive": True})
 
     async def _ready(self, request: web.Request) -> web.Response:
-        state = self._readiness()
-        status = HttpStatus.OK if state.ready else HttpStatus.SERVICE_UNAVAILABLE
-        return web.json_response({"ready": state.ready, "reason": state.reason}, status=status)
+        readiness = self._readiness()
+        status = HttpStatus.OK if readiness.ready else HttpStatus.SERVICE_UNAVAILABLE
+        return web.json_response(
+            {"ready": readiness.ready, "reason": readiness.reason}, status=status
+        )
 
     async def _metrics(self, request: web.Request) -> web.Response:
         return web.Response(body=render(self._registry), headers={"Content-Type": CONTENT_TYPE})
@@ -154,24 +163,24 @@
         return web.json_response(answer)
 
     async def _in_force(self, request: web.Request) -> web.Response:
-        """Ask the fleet; one question at a time, since a node can only find out one."""
+        """Query the fleet; queries are serialized, since a node tracks one revision at a time."""
         revision = _revision(request)
-        async with self._question:
+        async with self._in_force_lock:
             self._balancer.ask_in_force(revision)
             answer = await self._await_in_force(revision)
         return web.json_response(answer)
 
-    async def _await_in_force(self, revision: int) -> node_status.Answer:
-        """Return what is known once it is everywhere, or after IN_FORCE_WAIT_SECONDS."""
+    async def _await_in_force(self, revision: int) -> node_status.JsonObject:
+        """Return the report once the revision is in force everywhere, or after the timeout."""
         core = self._balancer.core
         loop = asyncio.get_running_loop()
-        limit = loop.time() + IN_FORCE_WAIT_SECONDS
+        deadline = loop.time() + IN_FORCE_TIMEOUT_SECONDS
         while True:
             report = core.fleet_status.in_force(revision)
             answer = node_status.in_force_status(core, revision, report)
-            if answer["everywhere"] or loop.time() >= limit:
+            if answer["everywhere"] or loop.time() >= deadline:
                 return answer
-            await asyncio.sleep(IN_FORCE_CHECK_SECONDS)
+            await asyncio.sleep(IN_FORCE_POLL_SECONDS)
 
     async def _explain_setting(self, request: web.Request) -> web.Response:
         name = _parameter(request, "name", "the name of a setting")
@@ -188,12 +197,12 @@
 
 
 def _now() -> float:
-    """Return the time that the core is given with its events."""
+    """Return the event loop's time, which the core receives with its events."""
     return asyncio.get_running_loop().time()
 
 
 def _flow(request: web.Request) -> FlowTuple:
-    """Return the flow that `client`, `service` (IP:PORT each) and `protocol` name."""
+    """Return the flow given by parameters `client` and `service` (IP:PORT) and `protocol`."""
     client = _address(request, "client")
     service = _address(request, "service")
     name = request.query.get("protocol", TransportProtocol.TCP.name)
@@ -214,8 +223,8 @@
         address = SocketAddress.parse(text)
     except ValueError:
         raise BadParameterError(name, "IP:PORT") from None
-    if not 0 < address.port <= LARGEST_PORT:
-        raise BadParameterError(name, f"a port from 1 to {LARGEST_PORT}")
+    if not 0 < address.port <= MAXIMUM_PORT:
+        raise BadParameterError(name, f"a port from 1 to {MAXIMUM_PORT}")
     return address
 
 
@@ -234,5 +243,5 @@
     return int(text)
 
 
-def _failure(status: HttpStatus, detail: str) -> web.Response:
+def _error_response(status: HttpStatus, detail: str) -> web.Response:
     return web.json_response({"error": detail}, status=status)
--- a/src/beamloom/runtime/admission_metrics.py
+++ b/src/beamloom/runtime/admission_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of tenants at one node: what they use, what they may, what was refused."""
+"""Metrics of tenants at one node: their usage, limits and refused flows."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from beamloom.node.core import NodeCore
 from beamloom.telemetry.counters import Metric, MetricKind, Sample, labelled
 
-LABEL = "tenant"
+TENANT_LABEL = "tenant"
 
 
 def read_tenants(core: NodeCore) -> Iterator[Metric]:
-    """Yield the metrics of each tenant in force."""
+    """Yield the metrics of every tenant, and the refused retries of every service."""
     tenants = core.admission.snapshot()
     open_flows = {name: float(status.open_flows) for name, status in tenants.items()}
     entries = {name: float(status.table_entries) for name, status in tenants.items()}
@@ -21,7 +21,11 @@
     yield _gauge("tenant_open_flows", "Flows open at this home.", open_flows)
     yield _gauge("tenant_table_entries", "Entries of the flow table.", entries)
     yield labelled(
-        "tenant_flows_admitted", MetricKind.COUNTER, "New flows admitted here.", LABEL, admitted
+        "tenant_flows_admitted",
+        MetricKind.COUNTER,
+        "New flows admitted here.",
+        TENANT_LABEL,
+        admitted,
     )
     yield _refusals(tenants)
     yield from _limits(core, tenants)
@@ -54,7 +58,11 @@
     packets = {name: float(meter.packets) for name, meter in meters.items()}
     blocked = {name: float(meter.blocked) for name, meter in meters.items()}
     yield labelled(
-        "tenant_packets", MetricKind.COUNTER, "Packets of clients taken here.", LABEL, packets
+        "tenant_packets",
+        MetricKind.COUNTER,
+        "Packets of clients taken here.",
+        TENANT_LABEL,
+        packets,
     )
     yield _gauge("tenant_blocked", "Whether the tenant is over its packets now.", blocked)
 
@@ -67,9 +75,9 @@
     )
     help_text = "New flows refused here, by the limit."
     return Metric(
-        "tenant_flows_refused", MetricKind.COUNTER, help_text, samples, (LABEL, "decision")
+        "tenant_flows_refused", MetricKind.COUNTER, help_text, samples, (TENANT_LABEL, "decision")
     )
 
 
 def _gauge(name: str, help_text: str, values: dict[str, float]) -> Metric:
-    return labelled(name, MetricKind.GAUGE, help_text, LABEL, values)
+    return labelled(name, MetricKind.GAUGE, help_text, TENANT_LABEL, values)
--- a/src/beamloom/runtime/balancer.py
+++ b/src/beamloom/runtime/balancer.py
@@ -1,4 +1,4 @@
-"""The asyncio adapter: runs one decision core on UDP sockets and the platform's client."""
+"""The asyncio adapter that runs one decision core on UDP sockets."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class BalancerProcess:
-    """One balancer on sockets.
+    """Runs one balancer: passes events to the core and executes its commands.
 
-    `extra_handlers` are tried in turn for the commands that this adapter leaves to others; each
-    returns whether it took the command. `stopped` is set when the node has come to its end:
-    `failure` then holds why it broke, and is None after a planned stop. What happens to exceptions
-    of the core is told in runtime/faults.py.
+    `extra_handlers` are tried in turn for commands that this adapter does not execute; each returns
+    whether it executed the command. `stopped` is set when the node has stopped; `failure` is then
+    the error that stopped it, or None after a planned stop. runtime/faults.py describes how
+    exceptions of the core are handled.
     """
 
     def __init__(self, core: NodeCore, sockets: MachineSockets) -> None:
@@ -52,31 +52,31 @@
 
     @property
     def unsent_datagrams(self) -> dict[LocalSocket, int]:
-        """How many datagrams the kernel refused, by the socket they should have left from."""
-        return {local: opened.unsent for local, opened in self._sockets.items()}
+        """Number of datagrams that the kernel refused to send, by socket."""
+        return {local: datagram_socket.unsent for local, datagram_socket in self._sockets.items()}
 
     def start(self) -> None:
         """Listen on the three sockets and start the core."""
         self._sockets[LocalSocket.DATA].listen(self._data_received)
         self._sockets[LocalSocket.PEER].listen(self._peer_received)
         self._sockets[LocalSocket.CONTROL].listen(self._control_received)
-        self._carry_out(self.core.start(self._now()))
+        self._execute_all(self.core.start(self._now()))
 
     def deliver(self, event: Event) -> None:
-        """Give an event to the core and carry out what it answers; a failure ends the node."""
+        """Pass an event to the core and execute its commands; an exception stops the node."""
         if self.failure is not None:
             return
         try:
-            self._carry_out(self.core.handle(event, self._now()))
+            self._execute_all(self.core.handle(event, self._now()))
         except Exception as error:
-            self._break(error)
+            self._fail(error)
 
     def ask_in_force(self, revision: int) -> None:
-        """Let the node find out where a revision is in force; the core's fleet status tells."""
+        """Start to collect where a revision is in force; see `core.fleet_status.in_force`."""
         try:
-            self._carry_out(self.core.ask_in_force(revision, self._now()))
+            self._execute_all(self.core.ask_in_force(revision, self._now()))
         except Exception as error:
-            self._break(error)
+            self._fail(error)
 
     def request_stop(self) -> None:
         """Begin a planned stop; `stopped` is set once it is complete."""
@@ -105,27 +105,27 @@
             if destination is not None:
                 self._sockets[LocalSocket.DATA].send(data, destination)
             if core.has_commands:
-                self._carry_out(core.take_commands(self._now()))
+                self._execute_all(core.take_commands(self._now()))
         except Exception as error:
             self.faults.record(FaultSource.PACKET, error)
 
     def _control_received(self, data: bytes, source: SocketAddress) -> None:
         try:
             event = ControlDatagramReceived(data, source)
-            self._carry_out(self.core.handle(event, self._now()))
+            self._execute_all(self.core.handle(event, self._now()))
         except Exception as error:
             self.faults.record(FaultSource.CONTROL_DATAGRAM, error)
 
-    def _break(self, error: Exception) -> None:
+    def _fail(self, error: Exception) -> None:
         self.failure = self.faults.record_broken(error)
         self.stopped.set()
 
-    def _carry_out(self, commands: Sequence[Command]) -> None:
+    def _execute_all(self, commands: Sequence[Command]) -> None:
         for command in commands:
-            self._carry_out_one(command)
+            self._execute(command)
         self._set_timer()
 
-    def _carry_out_one(self, command: Command) -> None:
+    def _execute(self, command: Command) -> None:
         match command:
             case SendPacket(local_socket, destination, data):
                 self._sockets[local_socket].send(data, destination)
@@ -142,15 +142,15 @@
                 any(handle(command) for handle in self.extra_handlers)
 
     def _set_timer(self) -> None:
-        wanted = self.core.next_timer()
-        if wanted == self._timer_at and self._timer is not None:
+        due_at = self.core.next_timer()
+        if due_at == self._timer_at and self._timer is not None:
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer_at = wanted
+        self._timer_at = due_at
         self._timer = None
-        if wanted is not None:
-            self._timer = asyncio.get_running_loop().call_at(wanted, self._timer_expired)
+        if due_at is not None:
+            self._timer = asyncio.get_running_loop().call_at(due_at, self._timer_expired)
 
     def _timer_expired(self) -> None:
         self._timer = None
--- a/src/beamloom/runtime/bound_socket.py
+++ b/src/beamloom/runtime/bound_socket.py
@@ -1,4 +1,4 @@
-"""Binding the socket that routers send clients' packets to; imported before anything heavy."""
+"""Binds the socket to which routers send clients' packets, before most modules are imported."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def bind_datagrams(address: Endpoint) -> socket.socket:
-    """Return a bound UDP socket that does not block; raises OSError."""
-    datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    datagrams.setblocking(False)
-    datagrams.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+    """Return a non-blocking UDP socket bound to `address`; raises OSError."""
+    datagram_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    datagram_socket.setblocking(False)
+    datagram_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     try:
-        datagrams.bind(address.pair)
+        datagram_socket.bind(address.pair)
     except OSError:
-        datagrams.close()
+        datagram_socket.close()
         raise
-    return datagrams
+    return datagram_socket
--- a/src/beamloom/runtime/datagrams.py
+++ b/src/beamloom/runtime/datagrams.py
@@ -1,8 +1,8 @@
 """UDP sockets on the event loop, read in batches.
 
-`asyncio`'s own datagram transport reads one datagram per turn of the loop, so that every packet
-pays for a poll. Here the loop's reader callback (a public interface of asyncio) takes up to
-BATCH_SIZE datagrams per turn; what that gains is in docs/design/data-path.md.
+The datagram transport of `asyncio` reads one datagram per iteration of the event loop, at the cost
+of a poll for each. Here a reader callback reads up to BATCH_SIZE datagrams per iteration;
+docs/design/data-path.md quantifies the gain.
 """
 
 from __future__ import annotations
@@ -16,17 +16,16 @@
 
 SOCKET_BUFFER_BYTES = 4 << 20
 BATCH_SIZE = 64
-LARGEST_DATAGRAM = 65_535
+MAXIMUM_DATAGRAM_BYTES = 65_535
 
-DatagramReceived = Callable[[bytes, SocketAddress], None]
+DatagramHandler = Callable[[bytes, SocketAddress], None]
 
 
 class DatagramSocket:
-    """A bound UDP socket; raises OSError when it cannot bind.
+    """A bound UDP socket; raises OSError if the address cannot be bound.
 
-    Nothing is read before `listen`, so that a node can learn its addresses before it starts.
-
-    `unsent` counts datagrams that the kernel had no room for: like a full link, they are lost.
+    Nothing is read before `listen`, so the address is known before the node starts. `unsent` counts
+    datagrams that the kernel refused to send; they are not sent again.
     """
 
     def __init__(self, address: SocketAddress) -> None:
@@ -40,24 +39,24 @@
         except OSError:
             self._socket.close()
             raise
-        self._received: DatagramReceived | None = None
+        self._handler: DatagramHandler | None = None
         self._loop: asyncio.AbstractEventLoop | None = None
         self.unsent = 0
 
-    def listen(self, received: DatagramReceived) -> None:
-        """Hand each datagram to `received` from now on, on the running loop."""
-        self._received = received
+    def listen(self, handler: DatagramHandler) -> None:
+        """Call `handler` with each datagram, on the running event loop."""
+        self._handler = handler
         self._loop = asyncio.get_running_loop()
         self._loop.add_reader(self._socket, self._read_batch)
 
     @property
     def address(self) -> SocketAddress:
-        """The address that the socket is bound to."""
+        """The address to which the socket is bound."""
         host, port = self._socket.getsockname()[:2]
         return SocketAddress(host, port)
 
     def send(self, data: bytes, destination: SocketAddress) -> bool:
-        """Send one datagram, or count it as unsent when the kernel refuses it; return whether."""
+        """Send one datagram and return True; count it as unsent if the kernel refuses it."""
         try:
             self._socket.sendto(data, destination)
         except OSError:
@@ -66,16 +65,16 @@
         return True
 
     def _read_batch(self) -> None:
-        receive, received = self._socket.recvfrom, self._received
-        assert received is not None
+        receive, handler = self._socket.recvfrom, self._handler
+        assert handler is not None
         for _ in range(BATCH_SIZE):
             try:
-                data, source = receive(LARGEST_DATAGRAM)
+                data, source = receive(MAXIMUM_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
                 continue
-            received(data, cast(SocketAddress, source[:2]))
+            handler(data, cast(SocketAddress, source[:2]))
 
     def close(self) -> None:
         """Stop reading and close the socket; a second call does nothing."""
--- a/src/beamloom/runtime/errors.py
+++ b/src/beamloom/runtime/errors.py
@@ -1,4 +1,4 @@
-"""Typed errors of a node's process; each message is one line that names the remedy."""
+"""Errors of a node's process; each message names the remedy."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class NodeProcessError(Exception):
-    """Base of what keeps a node from starting or running."""
+    """Base class of errors that prevent a node from starting or make it stop."""
 
 
 class AddressUnavailableError(NodeProcessError):
@@ -22,7 +22,7 @@
 
 
 class SecretFileError(NodeProcessError):
-    """A key or token file that cannot be used."""
+    """A key or token file cannot be used."""
 
     def __init__(self, setting: str, path: Path, reason: str, remedy: str) -> None:
         super().__init__(f"{setting} {path}: {reason}; {remedy}")
@@ -34,17 +34,18 @@
     def __init__(self, certificate: Path, key: Path, error: Exception) -> None:
         super().__init__(
             f"admin TLS with certificate {certificate} and key {key}: {error}; "
-            "give a PEM certificate and its own PEM key without a passphrase"
+            "give a PEM certificate and the matching PEM key without a passphrase"
         )
 
 
 class BrokenComponentError(NodeProcessError):
-    """An exception escaped from the core outside the packet path; the node cannot go on."""
+    """An unhandled exception outside the packet path; the node cannot continue."""
 
     def __init__(self, error: BaseException) -> None:
         super().__init__(
-            f"a component broke ({type(error).__name__}: {error}); the node stopped, since its "
-            "state may be half changed: start it again and report the trace in its log"
+            f"unhandled exception in a component ({type(error).__name__}: {error}); the node "
+            "stopped, since its state may be inconsistent: restart it and report the traceback in "
+            "its log"
         )
 
 
--- a/src/beamloom/runtime/node_metrics.py
+++ b/src/beamloom/runtime/node_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of one node, read from the snapshots of its components at each scrape."""
+"""Metrics of one node, read from snapshots of its components at each scrape."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
 
 @dataclass(slots=True)
 class NodeMetrics:
-    """Reads one node; `extra` holds counts of the adapters by metric name, each by label `kind`."""
+    """Reads one node; `extra` maps metrics of the adapters to their counts by label `kind`."""
 
     balancer: BalancerProcess
     extra: dict[str, Counts] = field(default_factory=dict)
 
     def read(self) -> Iterator[Metric]:
-        """Yield every metric as it is now."""
+        """Yield every metric with its current value."""
         core = self.balancer.core
         yield gauge("ready", "Whether packets may be sent to this node.", core.ready)
         yield from _packets(core)
@@ -158,7 +158,7 @@
     yield counter(
         "control_messages_oversized", "Messages too large to send.", snapshot.oversized_messages
     )
-    rows = {priority.name.lower(): item for priority, item in snapshot.priorities.items()}
+    queues = {priority.name.lower(): item for priority, item in snapshot.priorities.items()}
     for name, kind, help_text in (
         ("queued_messages", MetricKind.GAUGE, "Control messages that wait."),
         ("queued_bytes", MetricKind.GAUGE, "Control bytes that wait."),
@@ -169,7 +169,7 @@
         ("coalesced_messages", MetricKind.COUNTER, "Messages replaced by newer ones."),
         ("dropped_messages", MetricKind.COUNTER, "Control messages dropped, cache hints only."),
     ):
-        values = {priority: float(getattr(item, name)) for priority, item in rows.items()}
+        values = {priority: float(getattr(item, name)) for priority, item in queues.items()}
         yield labelled(f"control_{name}", kind, help_text, "priority", values)
 
 
--- a/src/beamloom/runtime/node_process.py
+++ b/src/beamloom/runtime/node_process.py
@@ -1,8 +1,8 @@
-"""Everything of one balancer from its settings file: sockets, core, store, checks, admin, signals.
+"""Builds and runs one balancer from its settings: sockets, core, store, checks, admin and signals.
 
-SIGTERM and SIGINT ask for a planned stop (exit status 0 once it is complete), a second one stops at
-once (1). SIGHUP reads the fleet's key files anew. What ends the process otherwise is told in
-runtime/faults.py.
+SIGTERM and SIGINT request a planned stop (exit status 0 once it is complete); a second one stops
+the node at once (1). SIGHUP reloads the fleet's key files. runtime/faults.py describes which
+exceptions end the process.
 """
 
 from __future__ import annotations
@@ -46,39 +46,39 @@
 from beamloom.units import MILLISECONDS
 
 STOP_MARGIN_SECONDS = 5.0
-LEAVE_REPORT_SECONDS = 2.0
+LEAVE_REPORT_TIMEOUT_SECONDS = 2.0
 
 
 def new_node_id(configured: str, start_milliseconds: int) -> NodeId:
-    """Return the id of one start of a node: the configured id and the start's own stamp.
+    """Return the node ID of one start: the configured ID and the time of the start.
 
-    It must be new for each start. Peers keep, per id, the window of sequence numbers against replay
-    and the record that a node has left or died: under its old id a restarted node, which counts
-    from one again, would be refused as replayed and believed dead.
+    It must differ for each start. Peers keep a replay window and the left or dead state by node ID.
+    A restarted node counts sequence numbers from one; under its old ID its messages would be
+    rejected as replays and it would be considered dead.
     """
     return NodeId(f"{configured}-{start_milliseconds:x}")
 
 
 class NodeProcess:
-    """One balancer: `start`, then `run` until it ends; `async with` does the first and `close`.
+    """One balancer: `start` it, then `run` it until it stops; `async with` starts and closes it.
 
-    `folder` is where relative paths of the settings begin. Starting raises AddressUnavailableError,
-    AdminTlsError, TlsConfigurationError, or an ExceptionGroup of SecretFileErrors. A platform that
-    is down is no error: the node waits, and `/readyz` says so.
+    Relative paths in the settings are relative to `folder`. `start` raises AddressUnavailableError,
+    AdminTlsError, TlsConfigurationError, or an ExceptionGroup of SecretFileErrors. An unavailable
+    platform is no error: the node waits for it, and `/readyz` returns the reason.
     """
 
     def __init__(
         self, settings: NodeSettings, folder: Path, start_milliseconds: int | None = None
     ) -> None:
-        stamp = (
+        milliseconds = (
             int(time.time() * MILLISECONDS) if start_milliseconds is None else start_milliseconds
         )
-        self.node_id = new_node_id(settings.node.id, stamp)
+        self.node_id = new_node_id(settings.node.id, milliseconds)
         self.admin_address = settings.node.admin_address
         self._settings = settings
         self._folder = folder
         self._stack = AsyncExitStack()
-        self._stop_asked = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._stop_now = asyncio.Event()
         self._log = structlog.get_logger().bind(node=self.node_id)
 
@@ -88,7 +88,7 @@
         return self
 
     async def __aexit__(self, *exception: object) -> None:
-        """Close everything."""
+        """Close the node."""
         await self.close()
 
     async def start(self) -> None:
@@ -116,24 +116,24 @@
             stack.callback(loop.set_exception_handler, None)
             self.balancer.start()
             self._stack = stack.pop_all()
-        self._note("new", "started", f"admin API on {self.admin_address}")
+        self._log_state_change("new", "started", f"admin API on {self.admin_address}")
 
     async def close(self) -> None:
-        """Close every socket, task and connection at once."""
+        """Close all sockets, tasks and connections without a planned stop."""
         await self._stack.aclose()
 
     def readiness(self) -> Readiness:
-        """Whether packets may be sent to this node now."""
+        """Return whether the node accepts packets now, and otherwise the reason."""
         return readiness_of(self.balancer, self.machines)
 
     def request_stop(self) -> None:
-        """Ask for a planned stop; asked again, stop now."""
-        if self._stop_asked.is_set():
+        """Request a planned stop; a second request stops the node at once."""
+        if self._stop_requested.is_set():
             self._stop_now.set()
-        self._stop_asked.set()
+        self._stop_requested.set()
 
     def reload_keys(self) -> None:
-        """Read the fleet's key files anew; faulty files are logged and the old keys stay."""
+        """Reload the fleet's key files; if one is invalid, log it and keep the old keys."""
         try:
             keys = read_fleet_keys(self._settings, self._folder)
         except ExceptionGroup as group:
@@ -146,61 +146,61 @@
     async def run(self) -> int:
         """Run until the node has stopped; return the process's exit status.
 
-        0 after a complete planned stop, 1 where it was cut short. Raises BrokenComponentError and
+        0 after a complete planned stop, 1 if it was cut short. Raises BrokenComponentError and
         StopTimeoutError.
         """
-        listing = asyncio.create_task(self.machines.run())
+        machine_list_task = asyncio.create_task(self.machines.run())
         try:
-            await self._wait_for_end(listing)
-            return await self._finish()
+            await self._wait_for_end(machine_list_task)
+            return await self._shut_down()
         finally:
-            listing.cancel()
-            await asyncio.gather(listing, return_exceptions=True)
-
-    async def _wait_for_end(self, listing: asyncio.Task[None]) -> None:
-        """Return when a stop is asked for or a component broke."""
-        stop = asyncio.create_task(self._stop_asked.wait())
-        broken = asyncio.create_task(self.balancer.stopped.wait())
-        waits: set[asyncio.Task[object]] = {stop, broken, listing}
-        done, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        for task in (stop, broken):
+            machine_list_task.cancel()
+            await asyncio.gather(machine_list_task, return_exceptions=True)
+
+    async def _wait_for_end(self, machine_list_task: asyncio.Task[None]) -> None:
+        """Return when a stop is requested or the core stops; raise if the machine list failed."""
+        stop = asyncio.create_task(self._stop_requested.wait())
+        core_stopped = asyncio.create_task(self.balancer.stopped.wait())
+        tasks: set[asyncio.Task[object]] = {stop, core_stopped, machine_list_task}
+        done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+        for task in (stop, core_stopped):
             task.cancel()
-        if listing in done:
-            error = listing.exception()
+        if machine_list_task in done:
+            error = machine_list_task.exception()
             if isinstance(error, Exception):
                 raise self.balancer.faults.record_broken(error)
 
-    async def _finish(self) -> int:
-        """Carry out a planned stop: tell the platform, hand over, and wait for the core."""
+    async def _shut_down(self) -> int:
+        """Perform a planned stop, which a second request cuts short; raise if the core failed."""
         if self.balancer.failure is not None:
             raise self.balancer.failure
-        self._note("running", "stopping", "a planned stop was asked for")
+        self._log_state_change("running", "stopping", "a planned stop was requested")
         stop_now = asyncio.create_task(self._stop_now.wait())
-        planned = asyncio.create_task(self._stop_as_planned())
+        planned = asyncio.create_task(self._perform_planned_stop())
         done, _ = await asyncio.wait({stop_now, planned}, return_when=asyncio.FIRST_COMPLETED)
         for task in (stop_now, planned):
             task.cancel()
         await asyncio.gather(stop_now, planned, return_exceptions=True)
         complete = planned in done and planned.result()
-        self._note("stopping", "stopped", "complete" if complete else "cut short")
+        self._log_state_change("stopping", "stopped", "complete" if complete else "cut short")
         return 0 if complete else 1
 
-    async def _stop_as_planned(self) -> bool:
-        limit = self._settings.node.stop_timeout_seconds + STOP_MARGIN_SECONDS
+    async def _perform_planned_stop(self) -> bool:
+        timeout = self._settings.node.stop_timeout_seconds + STOP_MARGIN_SECONDS
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(timeout):
                 await self._report_leaving()
                 self.balancer.deliver(StopRequested())
                 await self.balancer.stopped.wait()
         except TimeoutError:
-            raise StopTimeoutError(limit) from None
+            raise StopTimeoutError(timeout) from None
         if self.balancer.failure is not None:
             raise self.balancer.failure
         return self.balancer.stop_complete
 
     async def _report_leaving(self) -> None:
         try:
-            async with asyncio.timeout(LEAVE_REPORT_SECONDS):
+            async with asyncio.timeout(LEAVE_REPORT_TIMEOUT_SECONDS):
                 await self.machines.leave()
         except TimeoutError:
             self.machines.counters["leave_failed"] += 1
@@ -249,12 +249,12 @@
         except OSError as error:
             raise AddressUnavailableError("node.admin_address", address, error) from error
 
-    def _note(self, before: str, after: str, reason: str) -> None:
+    def _log_state_change(self, before: str, after: str, reason: str) -> None:
         self._log.info("state_changed", subject="node", before=before, after=after, reason=reason)
 
 
 def bind_sockets(settings: NodeSettings, stack: AsyncExitStack) -> MachineSockets:
-    """Bind the three UDP sockets; raises AddressUnavailableError, which names the setting."""
+    """Bind the three UDP sockets; raises AddressUnavailableError."""
     opened: list[DatagramSocket] = []
     for name in ("data_address", "peer_address", "control_address"):
         address = getattr(settings.node, name)
@@ -268,7 +268,7 @@
 
 
 def handle_signals(process: NodeProcess) -> Callable[[], None]:
-    """Route this process's signals to a node; returns what takes that back at its end."""
+    """Install the signal handlers of a node; return a function that removes them."""
     loop = asyncio.get_running_loop()
     handlers = {
         signal.SIGTERM: process.request_stop,
--- a/src/beamloom/runtime/node_status.py
+++ b/src/beamloom/runtime/node_status.py
@@ -1,4 +1,4 @@
-"""The JSON that the admin API answers: what a node is, has in force, and why."""
+"""JSON objects for the admin API: the state of a node, its settings, flows and backends."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from beamloom.settings.tree import Scope
 from beamloom.settings.validation import find_declaration
 
-Answer = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 class UnknownBackendError(SettingsError):
-    """The name is that of no stored backend of a service in force."""
+    """The service is not in force, or has no such backend in force."""
 
 
-def node_status(core: NodeCore) -> Answer:
-    """Return the node's own state in brief."""
+def node_status(core: NodeCore) -> JsonObject:
+    """Return a summary of the node's own state."""
     machine = core.options.machine
     configuration = core.configuration.configuration
     return {
@@ -55,13 +55,13 @@
     return by_state
 
 
-def _routing(core: NodeCore) -> Answer:
-    answer = asdict(core.forwarder.snapshot())
-    del answer["counters"], answer["open_flows"]
-    return answer
+def _routing(core: NodeCore) -> JsonObject:
+    snapshot = asdict(core.forwarder.snapshot())
+    del snapshot["counters"], snapshot["open_flows"]
+    return snapshot
 
 
-def _control(core: NodeCore) -> Answer:
+def _control(core: NodeCore) -> JsonObject:
     snapshot = core.channel.snapshot()
     return {
         "bytes_per_second_allowed": core.options.control_bytes_per_second,
@@ -72,8 +72,8 @@
     }
 
 
-def in_force_status(core: NodeCore, revision: int, report: InForceReport) -> Answer:
-    """Return where a revision is in force; `everywhere` only by every member's own word."""
+def in_force_status(core: NodeCore, revision: int, report: InForceReport) -> JsonObject:
+    """Return where a revision is in force; `everywhere` requires a report from every member."""
     everywhere = core.ready and not report.not_in_force
     return {
         "revision": revision,
@@ -84,8 +84,8 @@
     }
 
 
-def explain_setting(core: NodeCore, name: str, at: str) -> Answer:
-    """Return a setting's value at a scope and its origin; raises SettingsError."""
+def explain_setting(core: NodeCore, name: str, at: str) -> JsonObject:
+    """Return the value of a setting at a scope, and its origin; raises SettingsError."""
     scope = Scope.parse(at)
     declaration = find_declaration(name)
     effective = core.configuration.configuration.effective_setting(scope, name)
@@ -101,8 +101,8 @@
     }
 
 
-def explain_flow(core: NodeCore, flow: FlowTuple, now: float) -> Answer:
-    """Return what this node knows of a flow; `age_seconds` is since this node knew of it."""
+def explain_flow(core: NodeCore, flow: FlowTuple, now: float) -> JsonObject:
+    """Return this node's state of a flow; `age_seconds` is counted from when it learned of it."""
     known = core.forwarder.explain(flow)
     return {
         "node": core.options.machine.node_id,
@@ -125,8 +125,11 @@
     }
 
 
-def explain_backend(core: NodeCore, name: str, now: float) -> Answer:
-    """Return whether a backend `T/S/B` gets new flows, and why; raises SettingsError."""
+def explain_backend(core: NodeCore, name: str, now: float) -> JsonObject:
+    """Return whether backend `TENANT/SERVICE/BACKEND` gets new flows, and why.
+
+    Raises SettingsError.
+    """
     key = ObjectKey.parse(f"{ObjectKind.BACKEND}/{name}")
     service_name, backend_id = "/".join(key.names[:2]), key.names[2]
     service = core.configuration.configuration.services.get(service_name)
@@ -140,7 +143,7 @@
     return {"backend": name, **_backend_state(service, backend), **_new_flows(core, backend, now)}
 
 
-def _backend_state(service: ServiceContract, backend: Backend) -> Answer:
+def _backend_state(service: ServiceContract, backend: Backend) -> JsonObject:
     return {
         "address": str(backend.data_address),
         "health": str(backend.health_address),
@@ -156,8 +159,11 @@
     }
 
 
-def _new_flows(core: NodeCore, backend: Backend, now: float) -> Answer:
-    """Return the observed status, and whether the backend gets new flows; operators come first."""
+def _new_flows(core: NodeCore, backend: Backend, now: float) -> JsonObject:
+    """Return the observed status and whether the backend gets new flows.
+
+    Draining or a weight of 0, as set by the operator, takes precedence over the observed status.
+    """
     view = core.watchers.status(backend.backend_number, now)
     observed = {
         "operating_status": view.status.name.lower(),
@@ -173,9 +179,9 @@
     return {**observed, "new_flows": not refused, "reason": view.reason}
 
 
-def backend_objects(core: NodeCore, now: float) -> list[Answer]:
-    """Return every backend in force with its state, sorted by name."""
-    rows: list[Answer] = []
+def backend_objects(core: NodeCore, now: float) -> list[JsonObject]:
+    """Return the state of every backend in force, sorted by service name."""
+    rows: list[JsonObject] = []
     for name, service in sorted(core.configuration.configuration.services.items()):
         for backend in service.backends:
             state = _backend_state(service, backend) | _new_flows(core, backend, now)
