--- a/src/beamloom/runtime/deferred_modules.py
+++ b/src/beamloom/runtime/deferred_modules.py
@@ -1,9 +1,9 @@
 """Modules of the standard library that are imported at first use, not when a node starts.
 
-A node's modules and `asyncio` import what they need for errors, debugging, child processes or
-annotations only. That is half the processor time of a start, and a node that starts answers nobody.
-While `deferred` is entered, placeholders stand for it; a placeholder loads its module at the first
-look-up of a name that it does not hold itself. The same placeholder stands each time.
+A node's modules and `asyncio` import modules that they need only for errors, debugging, child
+processes or annotations, which would delay the start. Within `deferred`, placeholders replace them
+in `sys.modules`. A placeholder imports its module at the first access to an attribute that it does
+not have itself.
 """
 
 from __future__ import annotations
@@ -23,37 +23,37 @@
 from beamloom.runtime.light_types import enum_names, typing_names
 
 DEBUG_LEVEL = 10
-"""`logging.DEBUG`, which asyncio reads when it is imported; the value is documented."""
-CHILD_PROCESS_NAMES = {"PIPE": -1, "STDOUT": -2, "DEVNULL": -3}
-"""What asyncio copies from `subprocess` into defaults; a node starts no process."""
-WAIT_NAMES = ("FIRST_COMPLETED", "FIRST_EXCEPTION", "ALL_COMPLETED")
-"""What asyncio copies from `concurrent.futures`; there, too, each value is its own name."""
-FUTURES = "concurrent.futures"
+"""The documented value of `logging.DEBUG`, which asyncio reads when it is imported."""
+SUBPROCESS_CONSTANTS = {"PIPE": -1, "STDOUT": -2, "DEVNULL": -3}
+"""Constants of `subprocess` that asyncio reads when it is imported."""
+WAIT_CONSTANTS = ("FIRST_COMPLETED", "FIRST_EXCEPTION", "ALL_COMPLETED")
+"""Constants of `concurrent.futures` that asyncio copies; the value of each is its name."""
+FUTURES_MODULE = "concurrent.futures"
 
 
 class DeferredModule(ModuleType):
-    """Stands for a module until a name is asked for that is not among those given."""
+    """Replaces a module until an attribute is accessed that is not among `attributes`."""
 
-    def __init__(self, name: str, **given: object) -> None:
+    def __init__(self, name: str, **attributes: object) -> None:
         super().__init__(name)
-        self.__dict__.update(given)
+        self.__dict__.update(attributes)
 
     def __getattr__(self, name: str) -> object:
-        if name.startswith("__"):  # asked by the import system itself, which loads nothing by it
+        if name.startswith("__"):  # looked up by the import system, not by a user
             raise AttributeError(name)
-        if sys.modules.get(self.__name__) is self:  # asked by a module that is being imported
+        if sys.modules.get(self.__name__) is self:  # still within `deferred`
             del sys.modules[self.__name__]
         return getattr(importlib.import_module(self.__name__), name)
 
 
 class DeferredLogger:
-    """Stands for a logger; lines of a level that is off by default load nothing."""
+    """Replaces a logger; `debug` calls do not import `logging`."""
 
     def __init__(self, name: str) -> None:
         self._name = name
 
     def debug(self, *arguments: object, **options: object) -> None:
-        """Log, where the program has loaded `logging` to see such lines."""
+        """Log a debug message if `logging` has been imported."""
         if "logging" in sys.modules:
             self.__getattr__("debug")(*arguments, **options)
 
@@ -66,13 +66,13 @@
 
 @contextmanager
 def deferred() -> Iterator[None]:
-    """Let placeholders stand for the modules that are not loaded yet; afterwards for nobody new."""
+    """Replace modules that are not imported yet; modules imported within keep the placeholders."""
     placeholders = {
         name: placeholder for name, placeholder in _PLACEHOLDERS.items() if name not in sys.modules
     }
-    if FUTURES in placeholders:
-        # The import system sets a submodule on its package only when it loads it.
-        importlib.import_module("concurrent").__dict__["futures"] = placeholders[FUTURES]
+    if FUTURES_MODULE in placeholders:
+        # The import system sets a submodule on its package only when it imports the submodule.
+        importlib.import_module("concurrent").__dict__["futures"] = placeholders[FUTURES_MODULE]
     sys.modules.update(placeholders)
     try:
         yield
@@ -82,7 +82,7 @@
                 del sys.modules[name]
 
 
-def _placeholders() -> tuple[DeferredModule, ...]:
+def _make_placeholders() -> tuple[DeferredModule, ...]:
     return (
         DeferredModule("enum", **enum_names()),
         DeferredModule("json", **json_names()),
@@ -94,15 +94,15 @@
         DeferredModule("inspect"),
         DeferredModule("linecache"),
         DeferredModule("logging", getLogger=DeferredLogger, DEBUG=DEBUG_LEVEL),
-        DeferredModule("subprocess", **CHILD_PROCESS_NAMES),
+        DeferredModule("subprocess", **SUBPROCESS_CONSTANTS),
         DeferredModule("traceback", extract_stack=_extract_stack),
-        DeferredModule(FUTURES, **{name: name for name in WAIT_NAMES}),
+        DeferredModule(FUTURES_MODULE, **{name: name for name in WAIT_CONSTANTS}),
     )
 
 
 def _extract_stack(*arguments: object, **options: object) -> object:
-    """Do what `traceback.extract_stack` does; asyncio's C part copies the function itself."""
+    """Call `traceback.extract_stack`, which asyncio's C extension looks up when it is imported."""
     return importlib.import_module("traceback").extract_stack(*arguments, **options)
 
 
-_PLACEHOLDERS = {module.__name__: module for module in _placeholders()}
+_PLACEHOLDERS = {module.__name__: module for module in _make_placeholders()}
--- a/src/beamloom/runtime/gradual_import.py
+++ b/src/beamloom/runtime/gradual_import.py
@@ -1,8 +1,7 @@
 """Imports modules one by one while packets are forwarded.
 
-What the exchange with other nodes takes is imported when a node is ready already. In one piece
-that stops a small machine for a quarter of a second, just when the clients of a fleet that has been
-killed come back.
+The modules for the exchange with peers are imported after a node is ready. Importing them in one
+step would block the event loop for long on a small machine.
 """
 
 from __future__ import annotations
@@ -47,11 +46,11 @@
     "beamloom.replication.view_exchange",
     "beamloom.replication.fleet_share",
 )
-"""What joining the peers imports, each after what it needs itself, so that each step is short."""
+"""Modules for the exchange with peers, each after its dependencies, so that each step is short."""
 
 
 async def import_gradually(names: Iterable[str] = PEER_MODULES) -> None:
-    """Import modules; between any two the loop takes what has arrived."""
+    """Import modules and yield to the event loop after each."""
     for name in names:
         importlib.import_module(name)
         await asyncio.sleep(0)
--- a/src/beamloom/runtime/light_types.py
+++ b/src/beamloom/runtime/light_types.py
@@ -1,8 +1,8 @@
-"""Small stand-ins for `typing` and `enum` while a node starts; see light_modules.py.
+"""Lightweight substitutes for `typing` and `enum` while a node starts; see light_modules.py.
 
-Most of what a start spent on these was the making of types: a named tuple compiled each of its
-annotations and its constructor, an enumeration set a dozen attributes for each member. Those made
-here behave alike where a node uses them, and a look-up of a member runs no code in Python.
+Creating types with the modules themselves is slow: a named tuple compiles its constructor, and an
+enumeration sets many attributes of each member. Types created here behave alike as far as a node
+uses them. Enumeration members are plain class attributes.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 if TYPE_CHECKING:
     from typing import Any
 
-Names = dict[str, object]
-"""What a stand-in holds, by name."""
+Namespace = dict[str, object]
+"""Attributes of a substitute by name."""
 
 
-class _Anything:
-    """Stands for a type in annotations and aliases, whatever is done with it there."""
+class _AnyType:
+    """Replaces any type in annotations and aliases; supports subscripts and unions."""
 
-    def __getitem__(self, _item: object) -> _Anything:
+    def __getitem__(self, _item: object) -> _AnyType:
         return self
 
-    def __or__(self, _other: object) -> _Anything:
+    def __or__(self, _other: object) -> _AnyType:
         return self
 
     __ror__ = __or__
 
 
 class _Generic:
-    """A base class that may be given parameters, which are forgotten."""
+    """A base class that ignores type parameters."""
 
     __slots__ = ()
 
@@ -44,31 +44,31 @@
 _NOT_COPIED = frozenset(
     {"__annotations__", "__module__", "__qualname__", "__slots__", "__orig_bases__"}
 )
-_make = tuple.__new__
-_NEW: tuple[Callable[..., object], ...] = (
-    lambda c: _make(c, ()),
-    lambda c, f0: _make(c, (f0,)),
-    lambda c, f0, f1: _make(c, (f0, f1)),
-    lambda c, f0, f1, f2: _make(c, (f0, f1, f2)),
-    lambda c, f0, f1, f2, f3: _make(c, (f0, f1, f2, f3)),
-    lambda c, f0, f1, f2, f3, f4: _make(c, (f0, f1, f2, f3, f4)),
-    lambda c, f0, f1, f2, f3, f4, f5: _make(c, (f0, f1, f2, f3, f4, f5)),
-    lambda c, f0, f1, f2, f3, f4, f5, f6: _make(c, (f0, f1, f2, f3, f4, f5, f6)),
+_new_tuple = tuple.__new__
+_CONSTRUCTORS: tuple[Callable[..., object], ...] = (
+    lambda c: _new_tuple(c, ()),
+    lambda c, f0: _new_tuple(c, (f0,)),
+    lambda c, f0, f1: _new_tuple(c, (f0, f1)),
+    lambda c, f0, f1, f2: _new_tuple(c, (f0, f1, f2)),
+    lambda c, f0, f1, f2, f3: _new_tuple(c, (f0, f1, f2, f3)),
+    lambda c, f0, f1, f2, f3, f4: _new_tuple(c, (f0, f1, f2, f3, f4)),
+    lambda c, f0, f1, f2, f3, f4, f5: _new_tuple(c, (f0, f1, f2, f3, f4, f5)),
+    lambda c, f0, f1, f2, f3, f4, f5, f6: _new_tuple(c, (f0, f1, f2, f3, f4, f5, f6)),
 )
-"""Constructors by number of fields, named anew for each type: `namedtuple` compiles one for each,
-which is most of its cost.
+"""Constructors by number of fields. Each type gets a copy with its field names as parameters, which
+is faster than the compilation by `namedtuple`; types with more fields use `namedtuple`.
 """
 
 
-class _Record(tuple[object, ...]):
-    """What all named tuples that are made here have in common, by `_fields`."""
+class _TupleBase(tuple[object, ...]):
+    """Base class of named tuples with few fields; its methods use `_fields`."""
 
     __slots__ = ()
     _fields: tuple[str, ...] = ()
     _field_defaults: dict[str, object] = {}
 
     @classmethod
-    def _make(cls, values: Iterable[object]) -> _Record:
+    def _make(cls, values: Iterable[object]) -> _TupleBase:
         made = tuple.__new__(cls, values)
         if len(made) != len(cls._fields):
             raise TypeError(f"Expected {len(cls._fields)} arguments, got {len(made)}")
@@ -77,7 +77,7 @@
     def _asdict(self) -> dict[str, object]:
         return dict(zip(self._fields, self, strict=True))
 
-    def _replace(self, **changed: object) -> _Record:
+    def _replace(self, **changed: object) -> _TupleBase:
         made = self._make(map(changed.pop, self._fields, self))
         if changed:
             raise ValueError(f"Got unexpected field names: {list(changed)!r}")
@@ -96,33 +96,33 @@
 
 
 class _NamedTupleMeta(type):
-    """Makes a named tuple of a class's annotations, which are not evaluated for it."""
+    """Creates a named tuple from the annotations of a class, without evaluating them."""
 
     def __new__(mcs, name: str, bases: tuple[type, ...], body: dict[str, Any]) -> type:
         types = body.get("__annotations__", {})
         fields = tuple(types)
         defaults = {field: body[field] for field in fields if field in body}
-        if len(fields) >= len(_NEW):
+        if len(fields) >= len(_CONSTRUCTORS):
             made = namedtuple(name, fields, defaults=defaults.values(), module=body["__module__"])  # type: ignore[misc]
             made.__annotations__ = types
             for key, value in body.items():
                 if key not in _NOT_COPIED and key not in types:
                     setattr(made, key, value)
             return made
-        own = {
+        namespace = {
             **body,
-            **{field: _tuplegetter(place, "") for place, field in enumerate(fields)},
+            **{field: _tuplegetter(index, "") for index, field in enumerate(fields)},
             "__match_args__": fields,
             "__new__": _constructor(fields, tuple(defaults.values())),
             "__slots__": (),
             "_field_defaults": defaults,
             "_fields": fields,
         }
-        return type(name, (_Record,), own)
+        return type(name, (_TupleBase,), namespace)
 
 
 def _constructor(fields: tuple[str, ...], defaults: tuple[object, ...]) -> FunctionType:
-    template = _NEW[len(fields)]
+    template = _CONSTRUCTORS[len(fields)]
     code = template.__code__.replace(
         co_varnames=("_cls", *fields), co_name="__new__", co_qualname="__new__"
     )
@@ -130,7 +130,7 @@
 
 
 class _NamedTuple:
-    """What `class Name(NamedTuple)` names as its base."""
+    """The substitute for `typing.NamedTuple` in the bases of a class."""
 
     def __mro_entries__(self, _bases: tuple[object, ...]) -> tuple[type, ...]:
         return (_NAMED_TUPLE_BASE,)
@@ -139,10 +139,10 @@
 _NAMED_TUPLE_BASE = type.__new__(_NamedTupleMeta, "NamedTuple", (), {})
 
 
-def typing_names() -> Names:
-    """Return what stands for `typing`: annotations are for the type checker only."""
-    anything = _Anything()
-    words = (
+def typing_names() -> Namespace:
+    """Return the substitute for `typing`; type expressions have no effect."""
+    any_type = _AnyType()
+    names = (
         "Any",
         "Awaitable",
         "Callable",
@@ -154,19 +154,19 @@
         "Type",
     )
     return {
-        **dict.fromkeys((*words, "Union"), anything),
+        **dict.fromkeys((*names, "Union"), any_type),
         "TYPE_CHECKING": False,
         "Generic": _Generic,
         "NamedTuple": _NamedTuple(),
         "Protocol": _Generic,
-        "TypeVar": lambda *_arguments, **_options: anything,
+        "TypeVar": lambda *_arguments, **_options: any_type,
         "cast": lambda _type, value: value,
         "final": lambda decorated: decorated,
     }
 
 
 class _EnumMeta(type):
-    """Makes members of the plain values in a class's body; they stay as they are."""
+    """Creates an enumeration whose members have the plain values of the class body."""
 
     _members: dict[str, Any]
 
@@ -178,17 +178,19 @@
         made._members = {}
         by_value: dict[object, object] = {}
         for number, (key, value) in enumerate(values.items(), 1):
-            given = number if value is _AUTO else value
-            member = by_value.get(given)
+            member_value = number if value is _AUTO else value
+            member = by_value.get(member_value)
             if member is None:
-                member = by_value[given] = object.__new__(made)  # type: ignore[arg-type]
-                member.__dict__.update(name=key, value=given, _name_=key, _value_=given)
+                member = by_value[member_value] = object.__new__(made)  # type: ignore[arg-type]
+                member.__dict__.update(
+                    name=key, value=member_value, _name_=key, _value_=member_value
+                )
             made._members[key] = member
             type.__setattr__(made, key, member)
         return made
 
     def __call__(cls, value: object) -> object:
-        """Return the member of a value; raises ValueError."""
+        """Return the member with a value; raises ValueError if there is none."""
         for member in cls._members.values():
             if member.value == value:
                 return member
@@ -209,7 +211,7 @@
 
 
 class _Enum(metaclass=_EnumMeta):
-    """An enumeration of plain values; its members are compared by identity."""
+    """Base class of enumerations; members are compared by identity."""
 
     def __repr__(self) -> str:
         return f"<{type(self).__name__}.{self.name}: {self.value!r}>"  # type: ignore[attr-defined]
@@ -221,6 +223,6 @@
 _AUTO = object()
 
 
-def enum_names() -> Names:
-    """Return what stands for `enum`, of which a start needs plain enumerations."""
+def enum_names() -> Namespace:
+    """Return the substitute for `enum`, with plain enumerations only."""
     return {"Enum": _Enum, "auto": lambda: _AUTO}
--- a/src/beamloom/runtime/start_bundle.py
+++ b/src/beamloom/runtime/start_bundle.py
@@ -1,12 +1,12 @@
-"""All modules of a start from one file, which `bundle_writer` makes when a node is built.
+"""Imports the modules of a start from one file, which `bundle_writer` writes at build time.
 
-A module in a file of its own takes some ten system calls to find and to read; a start has a hundred
-of them. The bundle holds their code as the interpreter that made it compiles it. Another
-interpreter, or a file that is not whole, is told and passed over: modules then come from where they
-were installed. Submodules that are not in the bundle are found there in any case, so the bundle
-lies in the folder that the installed modules lie in, wherever that is when a node starts.
+Reading one file takes fewer system calls than searching for each module. The bundle contains
+compiled code, which only the same version of the interpreter can use. A bundle that is incomplete
+or was made by another version is reported on standard error and ignored; modules are then imported
+from where they were installed. The bundle must be in the folder of the installed modules, where
+submodules that are not in it are searched for. The folder may be moved.
 
-This module is read from a file of its own, and imports as little as it can.
+This module is not in the bundle and imports as few modules as possible.
 """
 
 import marshal
@@ -22,16 +22,16 @@
 
     Index = dict[str, tuple[int, int, str, bool, bool]]
 
-LENGTH_BYTES = 8
-"""At the beginning of the file: the length of the head that follows."""
+HEADER_LENGTH_BYTES = 8
+"""Size of the field at the beginning of the file, the length of the header that follows."""
 
 
 class BundleFinder:
-    """Finds modules in a bundle.
+    """Finds and loads modules from a bundle.
 
-    `index` has offset and length of each one's code, its file below the folder of the standard
-    library or of the bundle, whether it is of the library, and whether it is a package. Of a module
-    in C it has the file alone, so that no folder is looked through for it.
+    For each module `index` has the offset and length of its code, its file relative to the folder
+    of the standard library or of the bundle, whether it is in the library, and whether it is a
+    package. The length is 0 for extension modules, which are loaded from the file.
     """
 
     def __init__(self, index: "Index", code: memoryview, folder: str) -> None:
@@ -46,12 +46,12 @@
         _path: "Sequence[str] | None" = None,
         _target: "ModuleType | None" = None,
     ) -> ModuleSpec | None:
-        """Return the specification of a module that the bundle holds."""
+        """Return the specification of a module, or None if the bundle does not have it."""
         entry = self._index.get(name)
         if entry is None:
             return None
-        _, length, file, of_library, is_package = entry
-        origin = f"{self._library if of_library else self._folder}/{file}"
+        _, length, file, in_library, is_package = entry
+        origin = f"{self._library if in_library else self._folder}/{file}"
         if not length:
             loader = ExtensionFileLoader(name, origin)
             return spec_from_file_location(name, origin, loader=loader)
@@ -61,52 +61,52 @@
             spec.submodule_search_locations.append(origin.rpartition("/")[0])
         return spec
 
-    def forget(self) -> None:
-        """Let go of what was read: the modules' specifications keep this finder for good."""
+    def release(self) -> None:
+        """Release the bundle's contents; the finder stays referenced by module specifications."""
         self._index = {}
         self._code = memoryview(b"")
 
     def create_module(self, _spec: ModuleSpec) -> None:
-        """Let the import system make the module."""
+        """Return None, so that the import system creates the module."""
 
     def exec_module(self, module: "ModuleType") -> None:
-        """Run a module's code."""
+        """Execute the code of a module."""
         offset, length, *_ = self._index[module.__name__]
         exec(marshal.loads(self._code[offset : offset + length]), module.__dict__)
 
 
 def use_bundle(path: str) -> BundleFinder | None:
-    """Find modules in a bundle from now on; None, with a line on why, where it is of no use."""
+    """Import modules from a bundle; if it is unusable, print the reason and return None."""
     try:
         finder = read_bundle(path)
     except (OSError, ValueError, EOFError, TypeError) as error:
-        sys.stderr.write(f"{path} is not used: {error}; build anew with deploy/build.sh\n")
+        sys.stderr.write(f"{path} is not used: {error}; rebuild it with deploy/build.sh\n")
         return None
     sys.meta_path.insert(0, finder)
     return finder
 
 
 def drop_bundle(finder: BundleFinder | None) -> None:
-    """Find modules where they were installed again; what was read goes."""
+    """Import modules only from where they were installed, and release the bundle's contents."""
     if finder is not None:
         sys.meta_path.remove(finder)
-        finder.forget()
+        finder.release()
 
 
 def read_bundle(path: str) -> BundleFinder:
     """Read a bundle; raises OSError, ValueError, EOFError or TypeError."""
     with open(path, "rb") as file:
         data = memoryview(file.read())
-    head_end = LENGTH_BYTES + int.from_bytes(data[:LENGTH_BYTES], "little")
-    version, code_bytes, index = marshal.loads(data[LENGTH_BYTES:head_end])
+    header_end = HEADER_LENGTH_BYTES + int.from_bytes(data[:HEADER_LENGTH_BYTES], "little")
+    version, code_bytes, index = marshal.loads(data[HEADER_LENGTH_BYTES:header_end])
     if version != sys.version:
         raise ValueError(f"made by Python {version}")
-    code = data[head_end:]
+    code = data[header_end:]
     if len(code) != code_bytes:
         raise ValueError(f"{len(code)} bytes of {code_bytes}")
     return BundleFinder(index, code, path.rpartition("/")[0])
 
 
 def library_folder() -> str:
-    """Return where this interpreter's standard library lies."""
+    """Return the folder of this interpreter's standard library."""
     return os.__file__.rpartition("/")[0]
