--- a/tests/functional/bare_program.py
+++ b/tests/functional/bare_program.py
@@ -1,4 +1,4 @@
-"""Runs programs as the platform starts a node: without `site`, with what the tests can import."""
+"""Runs programs without `site`, as the platform starts a node."""
 
 import os
 import subprocess
@@ -6,8 +6,11 @@
 
 
 def run_bare(code: str) -> str:
-    """Run a program; return what it printed to both its outputs. Raises where it fails."""
-    run = subprocess.run(
+    """Run a program with the import path of the tests; return its standard output and error.
+
+    Raises CalledProcessError or TimeoutExpired.
+    """
+    result = subprocess.run(
         [sys.executable, "-S", "-c", code],
         env={**os.environ, "PYTHONPATH": os.pathsep.join(filter(None, sys.path))},
         capture_output=True,
@@ -15,4 +18,4 @@
         timeout=20,
         check=True,
     )
-    return run.stdout + run.stderr
+    return result.stdout + result.stderr
--- a/tests/functional/node_case.py
+++ b/tests/functional/node_case.py
@@ -1,4 +1,4 @@
-"""Base of tests that run balancers from settings files and the platform's stand-in in one loop."""
+"""Base class of tests that run balancers and the platform's stand-in in one event loop."""
 
 import asyncio
 import io
@@ -18,7 +18,7 @@
 
 ADMIN_TOKEN = "admin-token"
 FLEET_KEY = bytes(range(32))
-FREE = "127.0.0.1:0"
+FREE_ADDRESS = "127.0.0.1:0"
 PATIENCE_SECONDS = 20.0
 SETTINGS = """
 [node]
@@ -52,7 +52,7 @@
 
 
 class NodeTestCase(PlatformTestCase):
-    """A folder of settings, key and token files; nodes are closed at the end of a test."""
+    """Provides a folder of settings, key and token files; closes nodes after each test."""
 
     key_files: tuple[str, ...] = ("fleet.key",)
 
@@ -78,8 +78,8 @@
         self,
         node: str,
         *,
-        data: str = FREE,
-        admin: str = FREE,
+        data: str = FREE_ADDRESS,
+        admin: str = FREE_ADDRESS,
         seeds: tuple[SocketAddress, ...] = (),
         platform: str | None = None,
     ) -> Path:
@@ -109,7 +109,7 @@
         first = await self.start_node("one")
         second = await self.start_node("two", control_address(first))
         await self.eventually(lambda: first.readiness().ready and second.readiness().ready)
-        await self.eventually(lambda: homes(first) == homes(second) == 2)
+        await self.eventually(lambda: home_count(first) == home_count(second) == 2)
         return first, second
 
     async def wait_in_force(self, node: NodeProcess, revision: int) -> None:
@@ -132,5 +132,5 @@
     return node.balancer.core.options.machine.control_address
 
 
-def homes(node: NodeProcess) -> int:
+def home_count(node: NodeProcess) -> int:
     return sum(1 for _ in node.balancer.core.membership.view.may_be_home())
--- a/tests/functional/platform_case.py
+++ b/tests/functional/platform_case.py
@@ -1,4 +1,4 @@
-"""Base of tests that run the platform's stand-in on a loopback socket of any free port."""
+"""Base class of tests that run the platform's stand-in on a free loopback port."""
 
 import asyncio
 import math
@@ -22,10 +22,13 @@
 
 
 class PlatformTestCase(unittest.IsolatedAsyncioTestCase):
-    """A store, its server and one client; pauses and injected delays pass by `gate` or at once."""
+    """Runs a store, its server and a client.
+
+    The client's retries do not wait but record their pauses; the server's sleeps end with `gate`.
+    """
 
     async def asyncSetUp(self) -> None:
-        # Debug mode writes slow callbacks to standard error, where commands' errors are looked for.
+        # Debug mode reports slow callbacks on standard error, where tests check for errors.
         asyncio.get_running_loop().slow_callback_duration = math.inf
         self.pauses: list[float] = []
         self.on_pause: Callable[[], object] = lambda: None
--- a/tests/functional/test_deferred_modules.py
+++ b/tests/functional/test_deferred_modules.py
@@ -1,10 +1,10 @@
-"""What a node that starts loads, and that what it left out is there when it is asked for."""
+"""Deferred modules are not imported by a start, and work when they are accessed."""
 
 import unittest
 
 from tests.functional.bare_program import run_bare
 
-LEFT_OUT = {
+DEFERRED_MODULES = {
     "asyncio.sslproto",
     "concurrent.futures",
     "inspect",
@@ -15,7 +15,7 @@
 }
 
 
-LOAD = """
+LOAD_NODE = """
 from beamloom.runtime.token_node_main import load_node
 load_node()
 import asyncio, sys
@@ -23,12 +23,12 @@
 
 
 def run_program(code: str) -> str:
-    """Run a program that has loaded a node; return what it printed to both its outputs."""
-    return run_bare(LOAD + code)
+    """Run a program after importing a node; return its standard output and error."""
+    return run_bare(LOAD_NODE + code)
 
 
 class DeferredModulesTest(unittest.TestCase):
-    def test_a_loop_that_runs_loads_none_of_them(self) -> None:
+    def test_a_running_loop_imports_no_deferred_module(self) -> None:
         printed = run_program(
             "async def serve():\n"
             "    async with asyncio.TaskGroup() as group:\n"
@@ -42,7 +42,7 @@
             "asyncio.run(serve())\n"
             "print(' '.join(sys.modules))\n"
         )
-        self.assertEqual(set(printed.split()) & LEFT_OUT, set())
+        self.assertEqual(set(printed.split()) & DEFERRED_MODULES, set())
 
     def test_an_error_in_a_callback_is_logged_with_its_traceback(self) -> None:
         printed = run_program(
@@ -56,7 +56,7 @@
         self.assertIn("Exception in callback fail()", printed)
         self.assertIn("ValueError: on purpose", printed)
 
-    def test_names_that_were_deferred_are_those_of_the_modules(self) -> None:
+    def test_deferred_names_equal_those_of_the_modules(self) -> None:
         printed = run_program(
             "import concurrent.futures, logging, subprocess, traceback\n"
             "from asyncio import base_events, tasks\n"
@@ -76,11 +76,11 @@
         )
         self.assertEqual(printed.strip(), "alike")
 
-    def test_work_in_a_thread_is_possible(self) -> None:
+    def test_asyncio_can_use_threads(self) -> None:
         printed = run_program("print(asyncio.run(asyncio.to_thread(sum, [1, 2])))")
         self.assertEqual(printed.strip(), "3")
 
-    def test_a_missing_name_is_told_as_the_modules_own(self) -> None:
+    def test_a_missing_name_raises_the_error_of_the_module(self) -> None:
         printed = run_program(
             "from asyncio import base_events\n"
             "try:\n"
--- a/tests/functional/test_gradual_import.py
+++ b/tests/functional/test_gradual_import.py
@@ -1,4 +1,4 @@
-"""Modules that are imported while packets are forwarded: all of them, and one at a time."""
+"""Gradual import: complete, and with a turn of the event loop between any two modules."""
 
 import asyncio
 import unittest
@@ -6,7 +6,7 @@
 from beamloom.runtime.gradual_import import PEER_MODULES, import_gradually
 from tests.functional.bare_program import run_bare
 
-JOIN = """
+LIST_OTHER_IMPORTS = """
 import asyncio, random, sys
 from beamloom.runtime.token_node_main import load_node
 load_node()
@@ -38,10 +38,10 @@
         counting.cancel()
         self.assertGreaterEqual(turns, 3)
 
-    def test_joining_the_peers_imports_nothing_more(self) -> None:
-        self.assertEqual(run_bare(JOIN).split(), [])
+    def test_the_peer_exchange_imports_no_other_module(self) -> None:
+        self.assertEqual(run_bare(LIST_OTHER_IMPORTS).split(), [])
 
-    def test_each_module_is_named_once(self) -> None:
+    def test_each_module_is_listed_once(self) -> None:
         self.assertEqual(len(set(PEER_MODULES)), len(PEER_MODULES))
 
 
--- a/tests/functional/test_membership.py
+++ b/tests/functional/test_membership.py
@@ -1,4 +1,4 @@
-"""A fleet's member lists under crashes, loss, pauses, deafness, leaves, joins and splits."""
+"""Member lists of a fleet under crashes, packet loss, pauses, leaves, joins and partitions."""
 
 import unittest
 
@@ -7,9 +7,9 @@
 from beamloom.protocol.membership_messages import Ping
 from tests.membership_harness import Fleet, machine
 
-DETECTION_BOUND = 6.0
+DETECTION_BOUND_SECONDS = 6.0
 BYTES_PER_SECOND_BOUND = 1200
-HOUR = 3600.0
+HOUR_SECONDS = 3600.0
 
 
 def node(number: int) -> NodeId:
@@ -17,26 +17,26 @@
 
 
 class CrashTest(unittest.TestCase):
-    def test_all_learn_of_a_crash_and_of_no_other_death(self) -> None:
+    def test_all_detect_a_crash_and_no_other(self) -> None:
         fleet = Fleet.settled(24, seed=1)
         fleet.run(5.0)
         fleet.crash(node(3))
-        fleet.run(DETECTION_BOUND)
+        fleet.run(DETECTION_BOUND_SECONDS)
         self.assertEqual(set(fleet.states(node(3)).values()), {MemberState.DEAD})
         self.assertEqual(fleet.deaths_seen(), 0)
 
-    def test_a_lost_zone_is_found_whole(self) -> None:
+    def test_all_nodes_of_a_lost_zone_are_detected(self) -> None:
         fleet = Fleet.settled(25, seed=2)
         lost = [item.node_id for item in fleet.machines.values() if item.zone.name == "zone-1"]
         for node_id in lost:
             fleet.crash(node_id)
-        fleet.run(2 * DETECTION_BOUND)
+        fleet.run(2 * DETECTION_BOUND_SECONDS)
         for node_id in lost:
             self.assertEqual(set(fleet.states(node_id).values()), {MemberState.DEAD})
         self.assertEqual(fleet.deaths_seen(), 0)
         self.assertLessEqual(fleet.longest_datagram, MAXIMUM_DATAGRAM_SIZE)
 
-    def test_a_lost_zone_is_told_within_the_budget(self) -> None:
+    def test_detection_of_a_lost_zone_stays_within_the_traffic_bound(self) -> None:
         fleet = Fleet.settled(60, seed=18)
         lost = [item.node_id for item in fleet.machines.values() if item.zone.name == "zone-1"]
         for node_id in lost:
@@ -47,25 +47,25 @@
         spent = [sum(fleet.sent_bytes[node_id].values()) / 10 for node_id in fleet.cores]
         self.assertLessEqual(max(spent), BYTES_PER_SECOND_BOUND)
 
-    def test_a_crash_while_leaving_is_found(self) -> None:
+    def test_a_crash_while_leaving_is_detected(self) -> None:
         fleet = Fleet.settled(12, seed=3)
         fleet.do(node(5), fleet.cores[node(5)].leave(fleet.now))
         fleet.run(5.0)
         fleet.crash(node(5))
-        fleet.run(4 * DETECTION_BOUND)
+        fleet.run(4 * DETECTION_BOUND_SECONDS)
         self.assertEqual(set(fleet.states(node(5)).values()), {MemberState.DEAD})
 
-    def test_old_gossip_does_not_bring_the_dead_back(self) -> None:
+    def test_old_gossip_does_not_revive_a_dead_member(self) -> None:
         fleet = Fleet.settled(6, seed=4)
         fleet.crash(node(3))
-        fleet.run(2 * DETECTION_BOUND)
+        fleet.run(2 * DETECTION_BOUND_SECONDS)
         core = fleet.cores[node(0)]
         core.handle_message(node(1), Ping(9, [(node(3), int(MemberState.ALIVE), 0)]), fleet.now)
         self.assertIs(core.view.members[node(3)].state, MemberState.DEAD)
 
 
 class FaultyNodeTest(unittest.TestCase):
-    def test_a_paused_node_accuses_nobody_and_comes_back(self) -> None:
+    def test_a_paused_node_declares_nobody_dead_and_recovers(self) -> None:
         for seconds in (4.0, 60.0):
             with self.subTest(seconds=seconds):
                 fleet = Fleet.settled(16, seed=5)
@@ -77,7 +77,7 @@
                 self.assertGreaterEqual(counters.pauses, 1)
                 self.assertTrue(fleet.all_alive())
 
-    def test_a_pause_of_one_second_and_a_half_is_no_death(self) -> None:
+    def test_a_pause_of_one_and_a_half_seconds_causes_no_death(self) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
                 fleet = Fleet.settled(12, seed)
@@ -88,7 +88,7 @@
                 self.assertEqual(sum(declared), 0)
                 self.assertTrue(fleet.all_alive())
 
-    def test_a_half_deaf_node_kills_nobody(self) -> None:
+    def test_a_node_that_receives_little_causes_no_death(self) -> None:
         fleet = Fleet.settled(24, seed=6)
         fleet.loss = lambda sender, receiver: 0.6 if receiver == node(7) else 0.0
         for _ in range(60):
@@ -99,7 +99,7 @@
                 self.assertFalse(dead & set(fleet.states(subject).values()))
         self.assertGreater(fleet.cores[node(7)].snapshot().health_score, 0)
 
-    def test_flapping_lengthens_suspicion_and_shakes_nobody_else(self) -> None:
+    def test_a_flapping_node_causes_no_other_death(self) -> None:
         fleet = Fleet.settled(16, seed=7)
         for _ in range(12):
             fleet.loss = lambda sender, receiver: 1.0 if node(4) in {sender, receiver} else 0.0
@@ -123,10 +123,10 @@
         self.assertEqual(sum(declared), 0)
         self.assertTrue(fleet.all_alive())
 
-    def test_a_tenth_lost(self) -> None:
+    def test_ten_percent_loss(self) -> None:
         self.assert_no_false_death(0.1, minutes=10, seed=8)
 
-    def test_far_members_are_asked_through_helpers_before_they_are_suspected(self) -> None:
+    def test_indirect_probes_prevent_most_suspicions(self) -> None:
         fleet = Fleet.settled(24, seed=8)
         fleet.loss = lambda sender, receiver: 0.1
         fleet.run(100.0)
@@ -135,7 +135,7 @@
         probes = sum(item.probes_sent for item in counters)
         self.assertLess(raised, 0.005 * probes)
 
-    def test_three_tenths_lost(self) -> None:
+    def test_thirty_percent_loss(self) -> None:
         self.assert_no_false_death(0.3, minutes=5, seed=9)
 
 
@@ -153,7 +153,7 @@
         self.assertEqual(set(fleet.states(node(1)).values()), {MemberState.LEFT})
         self.assertEqual(sum(c.snapshot().suspicions for c in fleet.cores.values()), 0)
 
-    def test_a_join_is_paced_and_known_to_all(self) -> None:
+    def test_a_join_is_rate_limited_and_known_to_all(self) -> None:
         fleet = Fleet.settled(100, seed=11)
         fleet.run(5.0)
         newcomer = fleet.add(machine(100), [machine(0), machine(1), machine(100)])
@@ -204,12 +204,12 @@
         self.assertFalse(core.snapshot().synchronized)
 
 
-class SplitTest(unittest.TestCase):
-    def test_regions_apart_for_an_hour_serve_on_and_merge(self) -> None:
+class PartitionTest(unittest.TestCase):
+    def test_partitioned_regions_agree_internally_and_merge(self) -> None:
         fleet = Fleet.settled(10, seed=15)
         region = {item.node_id: item.zone.region for item in fleet.machines.values()}
         fleet.blocks = lambda sender, receiver: region[sender] != region[receiver]
-        fleet.run(HOUR)
+        fleet.run(HOUR_SECONDS)
         for subject in fleet.cores:
             for observer, state in fleet.states(subject).items():
                 same = region[subject] == region[observer]
@@ -219,7 +219,7 @@
         self.assertTrue(fleet.all_alive())
         self.assertEqual(len({core.view.member(node(0)) for core in fleet.cores.values()}), 1)
 
-    def test_small_fleet_merges_within_seconds_seeds_1_to_8(self) -> None:
+    def test_a_small_fleet_merges_within_seconds(self) -> None:
         for seed in range(1, 9):
             fleet = Fleet.settled(6, seed)
             region = {item.node_id: item.zone.region for item in fleet.machines.values()}
@@ -234,7 +234,7 @@
 
 
 class ViewTest(unittest.TestCase):
-    def test_versions_rise_only_with_changes_and_views_are_frozen(self) -> None:
+    def test_versions_increase_only_with_changes_and_views_are_immutable(self) -> None:
         fleet = Fleet.settled(3, seed=16)
         core = fleet.cores[node(0)]
         fleet.run(30.0)
--- a/tests/functional/test_membership_stateful.py
+++ b/tests/functional/test_membership_stateful.py
@@ -1,4 +1,4 @@
-"""Random crashes, pauses, splits, leaves and joins; after calm, the lists agree and are true."""
+"""Random crashes, pauses, partitions, leaves and joins; the member lists converge afterwards."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
--- a/tests/functional/test_node_process.py
+++ b/tests/functional/test_node_process.py
@@ -1,4 +1,4 @@
-"""Balancers from settings files: start, admin API, faults, key rotation and planned stops."""
+"""Balancers started from settings files: admin API, faults, key rotation and planned stops."""
 
 import asyncio
 import json
@@ -24,13 +24,13 @@
 from tests.functional.node_case import FLEET_KEY, NodeTestCase
 
 ROOT = Path(__file__).resolve().parents[2]
-FREE_BACKEND = "127.0.0.1:9"
-FLOW = "client=198.18.0.1:1024&service=10.0.0.1:80"
-ANYWHERE = SocketAddress("127.0.0.1", 9)
+BACKEND_ADDRESS = "127.0.0.1:9"
+FLOW_QUERY = "client=198.18.0.1:1024&service=10.0.0.1:80"
+SOURCE_ADDRESS = SocketAddress("127.0.0.1", 9)
 
 
 class StartTest(NodeTestCase):
-    async def test_taken_port_is_named_with_its_setting(self) -> None:
+    async def test_an_address_in_use_is_reported_with_its_setting(self) -> None:
         first = await self.start_node("one")
         taken = str(first.balancer.core.options.machine.data_address)
         for setting, arguments in (
@@ -42,7 +42,7 @@
                 await node.start()
             self.assertIn(f"node.{setting} 127.0.0.1", str(caught.exception))
 
-    async def test_all_faults_of_key_and_token_files_come_at_once(self) -> None:
+    async def test_all_invalid_key_and_token_files_are_reported(self) -> None:
         (self.folder / "fleet.key").write_bytes(b"short")
         (self.folder / "hash.key").write_bytes(bytes(65))
         (self.folder / "platform.token").unlink()
@@ -56,7 +56,7 @@
         ):
             self.assertIn(part, fault)
 
-    async def test_unusable_admin_certificate_is_named(self) -> None:
+    async def test_an_unusable_admin_certificate_is_reported(self) -> None:
         path = self.write_settings("one")
         files = 'certificate_file = "admin.pem"\nkey_file = "admin.key"\n'
         path.write_text(path.read_text().replace("[admin]\n", "[admin]\n" + files))
@@ -67,7 +67,7 @@
                 await self.make_node(path).start()
             self.assertIn("admin.pem", str(caught.exception))
 
-    async def test_platform_down_at_start_is_told_and_waited_for(self) -> None:
+    async def test_a_node_waits_for_an_unavailable_platform(self) -> None:
         self.store.inject(FaultPlan(down=True))
         node = await self.start_node("one")
         running = asyncio.create_task(node.run())
@@ -82,12 +82,12 @@
         node.request_stop()
         self.assertEqual(await running, 0)
 
-    def test_each_start_has_an_id_of_its_own(self) -> None:
+    def test_each_start_has_a_different_id(self) -> None:
         self.assertNotEqual(new_node_id("one", 1), new_node_id("one", 2))
 
 
 class AdminTest(NodeTestCase):
-    async def test_all_but_health_needs_the_token(self) -> None:
+    async def test_all_but_health_require_the_token(self) -> None:
         node = await self.start_node("one")
         for path in ("/metrics", "/v1/status", "/v1/in-force?revision=1", "/v1/unknown"):
             for token in (None, "wrong", ""):
@@ -109,7 +109,7 @@
     async def test_status_metrics_and_explanations(self) -> None:
         await self.client.write("tenant/t", {}, 0)
         await self.client.write("service/t/s", {"ip": "10.0.0.1", "protocol": "tcp", "port": 80}, 0)
-        backend = {"address": FREE_BACKEND, "health": FREE_BACKEND, "zone": "z"}
+        backend = {"address": BACKEND_ADDRESS, "health": BACKEND_ADDRESS, "zone": "z"}
         await self.client.write("backend/t/s/b", backend | {"state": "draining"}, 0)
         values = {"values": {"flow.idle_timeout": 60.0}}
         revision = await self.client.write("settings/tenant/t", values, 0)
@@ -127,16 +127,19 @@
         answer = json.loads(explained[1])
         self.assertEqual((answer["set_by"], answer["value"]), ("settings/tenant/t", 60.0))
         self.assertEqual(answer["since_revision"], revision)
-        told = json.loads((await self.get(second, "/v1/explain/backend?name=t/s/b"))[1])
-        self.assertEqual((told["new_flows"], told["reason"]), (False, "an operator drains it"))
-        flow = json.loads((await self.get(second, f"/v1/explain/flow?{FLOW}"))[1])
+        backend_answer = json.loads((await self.get(second, "/v1/explain/backend?name=t/s/b"))[1])
+        self.assertEqual(
+            (backend_answer["new_flows"], backend_answer["reason"]),
+            (False, "an operator drains it"),
+        )
+        flow = json.loads((await self.get(second, f"/v1/explain/flow?{FLOW_QUERY}"))[1])
         self.assertEqual((flow["service"], flow["role"], flow["backend"]), ("t/s", "none", None))
         self.assertIn(flow["decided_by"], (first.node_id, second.node_id))
         for query in (
             "",
-            FLOW + "0000",
-            FLOW.replace("198.18.0.1", "[::1]"),
-            FLOW + "&protocol=icmp",
+            FLOW_QUERY + "0000",
+            FLOW_QUERY.replace("198.18.0.1", "[::1]"),
+            FLOW_QUERY + "&protocol=icmp",
         ):
             self.assertEqual((await self.get(second, f"/v1/explain/flow?{query}"))[0], 400, query)
         for query in ("setting?name=no.such", "backend?name=t/s/x", "backend?name=t"):
@@ -145,7 +148,7 @@
     async def test_metrics_of_tenants_and_backends(self) -> None:
         await self.client.write("tenant/t", {}, 0)
         await self.client.write("service/t/s", {"ip": "10.0.0.1", "protocol": "tcp", "port": 80}, 0)
-        backend = {"address": FREE_BACKEND, "health": FREE_BACKEND, "zone": "z"}
+        backend = {"address": BACKEND_ADDRESS, "health": BACKEND_ADDRESS, "zone": "z"}
         await self.client.write("backend/t/s/b", backend, 0)
         values = {"values": {"limit.open_flows": 1}}
         revision = await self.client.write("settings/tenant/t", values, 0)
@@ -177,7 +180,7 @@
             [line for line in metrics if line.startswith("beamloom_tenant_flow_rate{")]
         )
 
-    async def test_in_force_is_told_only_when_every_node_has_it(self) -> None:
+    async def test_in_force_everywhere_requires_every_node(self) -> None:
         first, _ = await self.start_two()
         newest = await self.client.write("tenant/t", {}, 0)
         async with asyncio.timeout(20):
@@ -189,13 +192,13 @@
         later = json.loads((await self.get(first, "/v1/in-force?revision=1000000"))[1])
         self.assertEqual((later["everywhere"], len(later["not_in_force"])), (False, 2))
 
-    async def test_fault_of_a_handler_is_counted_and_answered(self) -> None:
+    async def test_an_exception_in_a_handler_is_counted_and_answered(self) -> None:
         node = await self.start_node("one")
         with mock.patch.object(node.balancer.core.membership, "snapshot", side_effect=KeyError):
             self.assertEqual((await self.get(node, "/metrics"))[0], 500)
         self.assertEqual(node.balancer.faults.counts[FaultSource.ADMIN_REQUEST], 1)
 
-    async def test_operators_page_names_every_metric(self) -> None:
+    async def test_the_operators_page_lists_every_metric(self) -> None:
         node = await self.start_node("one")
         text = (await self.get(node, "/metrics"))[1]
         names = {line.split()[2] for line in text.splitlines() if line.startswith("# TYPE")}
@@ -214,8 +217,8 @@
             mock.patch.object(balancer.core, "handle", side_effect=ZeroDivisionError),
         ):
             for _ in range(3):
-                balancer._packet_received(b"", ANYWHERE, from_peer=False)
-            balancer._control_received(b"", ANYWHERE)
+                balancer._packet_received(b"", SOURCE_ADDRESS, from_peer=False)
+            balancer._control_received(b"", SOURCE_ADDRESS)
         counts = balancer.faults.counts
         self.assertEqual((counts[FaultSource.PACKET], counts[FaultSource.CONTROL_DATAGRAM]), (3, 1))
         self.assertFalse(balancer.stopped.is_set())
@@ -224,7 +227,7 @@
         self.assertEqual([line["subject"] for line in faults], ["packet", "control_datagram"])
         self.assertIn("Traceback", faults[0]["exception"])
 
-    async def test_broken_component_ends_the_process(self) -> None:
+    async def test_an_exception_in_a_component_ends_the_process(self) -> None:
         node = await self.start_node("one")
         running = asyncio.create_task(node.run())
         with mock.patch.object(node.balancer.core, "handle", side_effect=ZeroDivisionError("x")):
@@ -234,7 +237,7 @@
         self.assertIn("ZeroDivisionError: x", str(caught.exception))
         self.assertEqual(node.balancer.faults.counts[FaultSource.COMPONENT], 1)
 
-    async def test_fault_in_a_task_is_not_lost(self) -> None:
+    async def test_an_exception_in_a_task_ends_the_process(self) -> None:
         node = await self.start_node("one")
         node.machines._client = mock.Mock()
         node.machines._client.register_machine = mock.AsyncMock(side_effect=ZeroDivisionError)
@@ -270,7 +273,7 @@
             node.request_stop()
             self.assertEqual(await running, 1)
 
-    async def test_keys_rotate_round_by_round_while_nodes_talk(self) -> None:
+    async def test_keys_rotate_while_nodes_exchange_messages(self) -> None:
         old, new = FLEET_KEY, bytes(40)
         (self.folder / "next.key").write_bytes(old)
         self.key_files = ("fleet.key", "next.key")
@@ -286,7 +289,7 @@
         for node in nodes:
             self.assertEqual(node.balancer.core.channel.counters["authentication"], 0)
 
-    async def test_keys_rotate_without_a_restart_and_bad_files_change_nothing(self) -> None:
+    async def test_keys_rotate_without_a_restart_and_invalid_files_change_nothing(self) -> None:
         node = await self.start_node("one")
         channel = node.balancer.core.channel
         (self.folder / "fleet.key").write_bytes(b"short")
--- a/tests/functional/test_packet_socket.py
+++ b/tests/functional/test_packet_socket.py
@@ -1,4 +1,4 @@
-"""The packets' socket: what waited in it, and what a stall does to it."""
+"""The packet socket: queued packets at the start and after a stall, and exceptions."""
 
 import asyncio
 import socket
@@ -24,26 +24,26 @@
 
     def handle(self, packet: ClientPacket, now: float) -> DropPacket:
         if self.fails:
-            raise RuntimeError("a fault of ours")
+            raise RuntimeError("injected fault")
         self.handled.append(packet.kind)
         return DropPacket(packet, DropReason.NO_TOKEN)
 
 
 class PacketSocketTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        bound = bind_datagrams(Endpoint("127.0.0.1", 0))
-        self.address = bound.getsockname()
+        datagram_socket = bind_datagrams(Endpoint("127.0.0.1", 0))
+        self.address = datagram_socket.getsockname()
         self.router = FakeRouter()
         self.faults: list[Exception] = []
-        self.firsts: list[str] = []
+        self.reported_moments: list[str] = []
         self.stalled = False
         self.packets = PacketSocket(
-            bound,
+            datagram_socket,
             self.router,  # type: ignore[arg-type]
             self.faults.append,
             self.before_batch,
             lambda: None,
-            on_first=self.firsts.append,
+            on_first=self.reported_moments.append,
         )
         self.addCleanup(self.packets.close)
         self.sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -59,16 +59,16 @@
             self.sender.sendto(datagram(value, number), self.address)
         await asyncio.sleep(0.05)
 
-    async def test_what_waited_is_taken_at_the_start(self) -> None:
+    async def test_queued_packets_are_handled_at_the_start(self) -> None:
         await self.send(FLAG_SYN, FLAG_ACK)
         self.packets.start()
         await asyncio.sleep(0.05)
         self.assertEqual(self.router.handled, [PacketKind.OPEN, PacketKind.DATA])
 
-    async def test_after_a_long_start_waiting_openings_are_dropped_and_later_ones_taken(
+    async def test_after_a_long_start_only_queued_openings_are_dropped(
         self,
     ) -> None:
-        """Found by quiet-1: the first opening after a start without any waiting was dropped."""
+        """Guards against dropping the first opening that arrives after the start."""
         await self.send(FLAG_SYN, FLAG_ACK)
         self.packets.start_without_waiting_openings()
         self.assertEqual(self.router.handled, [PacketKind.DATA])
@@ -76,17 +76,17 @@
         await self.send(FLAG_SYN)
         self.assertEqual(self.router.handled, [PacketKind.DATA, PacketKind.OPEN])
 
-    async def test_the_first_packet_read_is_told_and_no_drop_counts_as_forwarded(self) -> None:
+    async def test_a_dropped_packet_is_reported_as_read_and_not_as_forwarded(self) -> None:
         self.packets.start()
         await self.send(FLAG_SYN, FLAG_ACK)
-        self.assertEqual(set(self.firsts), {"packet_read"})
+        self.assertEqual(set(self.reported_moments), {"packet_read"})
 
-    async def test_a_start_with_nothing_waiting_drops_nothing_later(self) -> None:
+    async def test_a_start_with_an_empty_queue_drops_nothing_later(self) -> None:
         self.packets.start_without_waiting_openings()
         await self.send(FLAG_SYN)
         self.assertEqual(self.router.handled, [PacketKind.OPEN])
 
-    async def test_after_a_stall_only_what_waited_is_dropped(self) -> None:
+    async def test_after_a_stall_only_queued_openings_are_dropped(self) -> None:
         self.packets.start()
         self.stalled = True
         await self.send(FLAG_SYN, FLAG_ACK)
@@ -94,7 +94,7 @@
         await self.send(FLAG_SYN)
         self.assertEqual(self.router.handled, [PacketKind.DATA, PacketKind.OPEN])
 
-    async def test_a_fault_costs_one_packet(self) -> None:
+    async def test_an_exception_drops_one_packet(self) -> None:
         self.packets.start()
         self.router.fails = True
         await self.send(FLAG_SYN)
--- a/tests/functional/test_replication.py
+++ b/tests/functional/test_replication.py
@@ -1,4 +1,4 @@
-"""A fleet keeps one configuration through loss, restarts, partitions and faults of the store."""
+"""A fleet agrees on one configuration despite loss, restarts, partitions and store failures."""
 
 import unittest
 from typing import Any
@@ -28,7 +28,10 @@
         revision = max(
             (item.revision for item in fleet.store.history if item.key[:6] != "lease/"), default=0
         )
-        self.assertTrue(fleet.run(seconds, lambda: fleet.level(revision)), "not level in time")
+        self.assertTrue(
+            fleet.run(seconds, lambda: fleet.level(revision)),
+            "the nodes did not reach the revision in time",
+        )
         fleet.check_states()
 
     def assert_same_histories(self, fleet: Fleet) -> None:
@@ -56,7 +59,7 @@
         self.settle(fleet, 4.0)
         self.assert_same_histories(fleet)
 
-    def test_burst_beyond_the_budget_is_delayed_and_arrives_whole(self) -> None:
+    def test_a_burst_beyond_the_budget_is_delayed_and_complete(self) -> None:
         fleet = filled(Fleet(40, loss=0.1, delays=(0.0015, 0.04)))
         self.settle(fleet)
         for number in range(60):
@@ -101,7 +104,7 @@
         self.assertGreater(sum(n.election.snapshot().listings for n in fleet.nodes.values()), 0)
         self.assert_same_histories(fleet)
 
-    def test_partition_heals_forwards(self) -> None:
+    def test_a_healed_partition_converges_to_the_newer_state(self) -> None:
         fleet = filled(Fleet(20))
         self.settle(fleet)
         names = list(fleet.nodes)
@@ -116,14 +119,14 @@
         self.settle(fleet, 5.0)
         self.assert_same_histories(fleet)
 
-    def test_tampered_parts_never_come_into_force(self) -> None:
+    def test_tampered_snapshot_parts_are_rejected(self) -> None:
         fleet = filled(Fleet(20))
         for number in range(1100):
             fleet.store.write(f"tenant/t{number}", {"operation": f"{number * 7919:x}"})
-        liar = next(iter(fleet.nodes))
+        tampering_node = next(iter(fleet.nodes))
 
         def tamper(sender: NodeId, message: Message) -> Message:
-            if sender != liar or not isinstance(message, SnapshotPartSent):
+            if sender != tampering_node or not isinstance(message, SnapshotPartSent):
                 return message
             data = bytes(len(message.data))
             return SnapshotPartSent(message.revision, message.digest, message.index, data)
@@ -141,14 +144,14 @@
         corrupt = sum(n.replica.snapshot().corrupt_snapshots for n in fleet.nodes.values())
         self.assertGreater(corrupt, 0)
 
-    def test_empty_store_still_gets_its_readers(self) -> None:
+    def test_a_fleet_with_an_empty_store_elects_readers(self) -> None:
         fleet = Fleet(6)
         fleet.run(20.0)
         self.assertTrue(all(node.replica.ready for node in fleet.nodes.values()))
         fleet.store.write("tenant/first", {})
         self.settle(fleet, 5.0)
 
-    def test_restarted_readers_do_not_send_the_fleet_to_snapshots(self) -> None:
+    def test_restarted_readers_cause_no_snapshot_transfers(self) -> None:
         fleet = filled(Fleet(8))
         self.settle(fleet)
         fleet.run(10.0)
@@ -161,7 +164,7 @@
             after = [node.replica.snapshot().snapshots_loaded for node in others]
             self.assertEqual(after, before)
 
-    def test_change_too_long_to_push_passes_an_older_snapshot_by(self) -> None:
+    def test_a_change_too_large_to_push_arrives_despite_an_older_snapshot(self) -> None:
         fleet = filled(Fleet(6))
         for number in range(1100):
             fleet.store.write(f"tenant/t{number}", {})
@@ -193,13 +196,13 @@
 
 
 class ReaderElectionTest(FleetCase):
-    def test_few_nodes_ever_ask_the_store(self) -> None:
+    def test_few_nodes_access_the_store(self) -> None:
         fleet = filled(Fleet(80))
         fleet.run(120.0)
         self.assertEqual(len(fleet.readers()), 3)
         self.assertLessEqual(len(fleet.store.readers_seen), 9)
 
-    def test_paused_readers_are_replaced_and_stop_when_they_wake(self) -> None:
+    def test_paused_readers_are_replaced_and_stop_reading_when_resumed(self) -> None:
         fleet = filled(Fleet(12, lease_duration=3.0))
         self.settle(fleet)
         fleet.run(10.0)
@@ -217,7 +220,7 @@
         self.assertFalse(set(fleet.readers()) & set(paused))
         self.settle(fleet, 5.0)
 
-    def test_lost_answers_of_lease_writes(self) -> None:
+    def test_lost_answers_to_lease_writes(self) -> None:
         fleet = filled(Fleet(12, lease_duration=3.0))
         fleet.store.lose_write_answers = 20
         self.settle(fleet)
@@ -234,23 +237,23 @@
         fleet.cut = {silent}
         revision = fleet.store.write("tenant/t", {})
         fleet.run(4.0)
-        asker = fleet.nodes[names[0]]
-        fleet.do(asker, lambda: asker.status.ask(revision, fleet.now))
+        requester = fleet.nodes[names[0]]
+        fleet.do(requester, lambda: requester.status.ask(revision, fleet.now))
         fleet.run(2.0)
-        report = asker.status.in_force(revision)
+        report = requester.status.in_force(revision)
         self.assertEqual((report.count_in_force, report.not_in_force), (59, (silent,)))
 
-    def test_report_never_exceeds_the_truth(self) -> None:
+    def test_reported_nodes_have_the_revision(self) -> None:
         fleet = filled(Fleet(60, loss=0.3))
         self.settle(fleet)
         revision = fleet.store.write("tenant/t", {})
-        asker = next(iter(fleet.nodes.values()))
-        fleet.do(asker, lambda: asker.status.ask(revision, fleet.now))
+        requester = next(iter(fleet.nodes.values()))
+        fleet.do(requester, lambda: requester.status.ask(revision, fleet.now))
         for _ in range(200):
             fleet.run(0.02)
-            claimed = set(fleet.nodes) - set(asker.status.in_force(revision).not_in_force)
-            true = {n for n, x in fleet.nodes.items() if x.replica.applied_revision >= revision}
-            self.assertLessEqual(claimed, true)
+            reported = set(fleet.nodes) - set(requester.status.in_force(revision).not_in_force)
+            actual = {n for n, x in fleet.nodes.items() if x.replica.applied_revision >= revision}
+            self.assertLessEqual(reported, actual)
 
 
 class ReplicationMachine(RuleBasedStateMachine):
--- a/tests/functional/test_start_bundle.py
+++ b/tests/functional/test_start_bundle.py
@@ -1,4 +1,4 @@
-"""Nodes that start from one file of modules: they serve and meet, also where it is of no use."""
+"""Nodes that start from a bundle of modules, and from an unusable one."""
 
 import asyncio
 import os
@@ -19,17 +19,17 @@
 )
 from tests.functional.token_node_case import METRICS_PORT, TokenNodeCase
 
-FORGET = """
+DROP_BUNDLE = """
 import sys
 from beamloom.runtime.start_bundle import drop_bundle, use_bundle
 finder = use_bundle(sys.argv[1])
 from beamloom.runtime import token_node_main
 is_from_it = token_node_main.__loader__ is finder
 drop_bundle(finder)
-import asyncio  # is in the bundle, and found beside it now
+import asyncio  # is in the bundle, and is now imported from its own file
 print(is_from_it, len(finder._code), finder not in sys.meta_path)
 """
-NOT_IN_A_START = {
+UNNEEDED_MODULES = {
     "argparse",
     "enum",
     "json",
@@ -43,8 +43,8 @@
 LIST_MODULES = "from beamloom.runtime.start import load; load()\nimport sys; print(*sys.modules)"
 
 
-def path_with(folder: Path) -> dict[str, str]:
-    """Return an environment in which modules come from a folder first."""
+def environment_with(folder: Path) -> dict[str, str]:
+    """Return an environment in which modules are imported from `folder` first."""
     found = os.pathsep.join([str(folder), *filter(None, sys.path)])
     return {**os.environ, "PYTHONPATH": found}
 
@@ -67,7 +67,7 @@
         run = await asyncio.to_thread(
             subprocess.run,
             [sys.executable, "-S", *arguments],
-            env=path_with(self.installed),
+            env=environment_with(self.installed),
             capture_output=True,
             text=True,
             timeout=20,
@@ -76,14 +76,14 @@
         return run.stdout
 
     def start(self, number: int) -> None:
-        self.start_node(number, path_with(self.installed))
+        self.start_node(number, environment_with(self.installed))
 
     async def serve(self, number: int, port: int) -> None:
         flows = [self.new_flow(port + offset) for offset in range(4)]
         await self.play(number, flows)
         self.assertEqual({flow.state for flow in flows}, {FlowState.DONE})
 
-    async def test_two_nodes_serve_and_hear_each_other(self) -> None:
+    async def test_two_nodes_serve_and_exchange_changes(self) -> None:
         leaving = self.add_endpoint(2)
         for number in (1, 2):
             self.start(number)
@@ -93,15 +93,15 @@
         self.store.faults.refused_hosts = {f"{self.network}.1"}
         self.announce(leaving, "tracker", BackendState.DRAINING)
 
-        def has_heard() -> bool:
-            told = [line for line in self.lines(1) if line.get("source") == "peer"]
-            return "draining" in [line.get("state") for line in told]
+        def has_received_change() -> bool:
+            changes = [line for line in self.lines(1) if line.get("source") == "peer"]
+            return "draining" in [line.get("state") for line in changes]
 
-        await self.wait_until(has_heard, LONGEST_HEARING_SECONDS)
+        await self.wait_until(has_received_change, LONGEST_HEARING_SECONDS)
         await self.serve(2, 2100)
         self.assertNotIn("is not used", self.logs())
 
-    async def test_figures_a_reload_and_a_stop_with_what_is_imported_late(self) -> None:
+    async def test_metrics_reload_and_stop_with_modules_imported_after_the_start(self) -> None:
         self.start(1)
         await self.wait_until_ready(1)
         await self.serve(1, 2000)
@@ -119,8 +119,8 @@
         self.assertEqual(await asyncio.to_thread(node.wait, LONGEST_STOP_SECONDS), 0)
         self.assertNotIn("Traceback", self.logs())
 
-    async def test_a_bundle_is_used_where_it_was_moved_to(self) -> None:
-        """Modules that are not in it are found beside it, not where it was made."""
+    async def test_a_moved_bundle_is_used(self) -> None:
+        """Modules that are not in the bundle are imported from the folder to which it was moved."""
         moved = self.folder / "moved"
         self.installed.rename(moved)
         self.installed = moved
@@ -129,15 +129,15 @@
         await self.wait_until_ready(1)
         await self.serve(1, 2000)
 
-    async def test_a_bundle_apart_from_the_modules_is_not_written(self) -> None:
-        apart = self.folder / "apart" / BUNDLE
-        apart.parent.mkdir()
+    async def test_a_bundle_outside_the_folder_of_the_modules_is_not_written(self) -> None:
+        outside = self.folder / "apart" / BUNDLE
+        outside.parent.mkdir()
         with self.assertRaises(subprocess.CalledProcessError) as caught:
-            await self.run_python("-m", "beamloom.runtime.bundle_writer", str(apart))
+            await self.run_python("-m", "beamloom.runtime.bundle_writer", str(outside))
         self.assertIn("write the bundle where it lies", caught.exception.stderr)
-        self.assertFalse(apart.exists())
+        self.assertFalse(outside.exists())
 
-    async def test_a_bundle_that_is_of_no_use_is_told_and_passed_over(self) -> None:
+    async def test_an_unusable_bundle_is_reported_and_ignored(self) -> None:
         whole = self.bundle.read_bytes()
         other = whole.replace(sys.version.encode(), b"x" * len(sys.version), 1)
         for number, (content, reason) in enumerate(
@@ -155,10 +155,10 @@
                 self.assertIn("deploy/build.sh", log)
                 self.bundle.write_bytes(whole)
 
-    async def test_what_was_read_goes_once_the_node_is_loaded(self) -> None:
-        printed = await self.run_python("-c", FORGET, str(self.bundle))
+    async def test_the_contents_of_the_bundle_are_released(self) -> None:
+        printed = await self.run_python("-c", DROP_BUNDLE, str(self.bundle))
         self.assertEqual(printed.split(), ["True", "0", "True"])
 
-    async def test_a_start_imports_no_module_that_it_can_do_without(self) -> None:
+    async def test_a_start_imports_no_unneeded_module(self) -> None:
         loaded = set((await self.run_python("-c", LIST_MODULES)).split())
-        self.assertEqual(loaded & NOT_IN_A_START, set())
+        self.assertEqual(loaded & UNNEEDED_MODULES, set())
--- a/tests/unit/test_light_modules.py
+++ b/tests/unit/test_light_modules.py
@@ -1,4 +1,4 @@
-"""The stand-ins for modules of the standard library behave as the modules do."""
+"""Substitutes for modules of the standard library, compared with the modules themselves."""
 
 import json
 import math
@@ -9,7 +9,7 @@
 
 from beamloom.runtime import light_modules
 
-TEXTS: tuple[str | bytes, ...] = (
+VALID_TEXTS: tuple[str | bytes, ...] = (
     '{"a": [1, 2.5, -3e4, true, false, null, "\\u00e9\\n"], "b": {}}',
     ' \n\t{"a": 1}\r\n ',
     b'{"name": "caf\xc3\xa9"}',
@@ -21,7 +21,7 @@
     '{"a": 1}'.encode("utf-16"),
     '{"a": 1}'.encode("utf-32-be"),
 )
-FAULTY: tuple[str | bytes, ...] = (
+INVALID_TEXTS: tuple[str | bytes, ...] = (
     "",
     "  ",
     "{",
@@ -35,7 +35,7 @@
 
 
 def outcome(load: Callable[[str | bytes], object], text: str | bytes) -> str:
-    """Return what a decoder makes of a text, or its error, in words."""
+    """Return the `repr` of a decoded text, or the type and message of the error."""
     try:
         return repr(load(text))
     except ValueError as error:
@@ -43,36 +43,36 @@
 
 
 class JsonTest(unittest.TestCase):
-    def test_texts_are_read_alike(self) -> None:
-        for text in (*TEXTS, *FAULTY):
+    def test_decoding_matches_json(self) -> None:
+        for text in (*VALID_TEXTS, *INVALID_TEXTS):
             with self.subTest(text=text):
                 expected = outcome(json.loads, text)
                 self.assertEqual(outcome(light_modules.load_json, text), expected)
 
-    def test_values_are_written_alike(self) -> None:
+    def test_encoding_matches_json(self) -> None:
         for value in ({"a": [1, 2.5, True, None, "é\n\ud800"]}, [], "x", math.inf, {1: 2}, (1, 2)):
             with self.subTest(value=value):
                 self.assertEqual(light_modules.dump_json(value), json.dumps(value))
         options = {"sort_keys": True, "separators": (",", ":")}
-        given = light_modules.dump_json({"b": 1, "a": 2}, **options)
-        self.assertEqual(given, '{"a":2,"b":1}')
+        encoded = light_modules.dump_json({"b": 1, "a": 2}, **options)
+        self.assertEqual(encoded, '{"a":2,"b":1}')
 
-    def test_what_cannot_be_written_is_refused(self) -> None:
-        circle: list[object] = []
-        circle.append(circle)
-        for value, error in ((object(), TypeError), ({1, 2}, TypeError), (circle, ValueError)):
+    def test_values_that_cannot_be_encoded_raise(self) -> None:
+        cycle: list[object] = []
+        cycle.append(cycle)
+        for value, error in ((object(), TypeError), ({1, 2}, TypeError), (cycle, ValueError)):
             with self.assertRaises(error):
                 light_modules.dump_json(value)
 
 
 class SocketTest(unittest.TestCase):
     def test_a_connection_is_accepted(self) -> None:
-        light = light_modules.socket_names()
-        make: typing.Any = light["socket"]
-        with make(socket.AF_INET, socket.SOCK_STREAM) as listener:
+        names = light_modules.socket_names()
+        socket_class: typing.Any = names["socket"]
+        with socket_class(socket.AF_INET, socket.SOCK_STREAM) as listener:
             listener.bind(("127.0.0.1", 0))
             listener.listen()
-            with make(light["AF_INET"], light["SOCK_STREAM"]) as client:
+            with socket_class(names["AF_INET"], names["SOCK_STREAM"]) as client:
                 client.connect(listener.getsockname())
                 accepted, address = listener.accept()
                 with accepted:
@@ -81,15 +81,19 @@
                     self.assertEqual(client.recv(10), b"hello")
         self.assertEqual(listener.fileno(), -1)
 
-    def test_numbers_and_errors_are_those_of_the_module(self) -> None:
-        light = light_modules.socket_names()
-        shared = [name for name in light if name.isupper() and hasattr(socket, name)]
+    def test_constants_and_errors_equal_those_of_socket(self) -> None:
+        names = light_modules.socket_names()
+        shared = [name for name in names if name.isupper() and hasattr(socket, name)]
         self.assertGreater(len(shared), 100)
         for name in shared:
-            self.assertEqual(light[name], getattr(socket, name), name)
+            self.assertEqual(names[name], getattr(socket, name), name)
         for name in ("error", "gaierror", "herror", "timeout"):
-            self.assertIs(light[name], getattr(socket, name), name)
-        self.assertNotIn("getaddrinfo", light, "the module's own turns numbers into its enums")
+            self.assertIs(names[name], getattr(socket, name), name)
+        self.assertNotIn(
+            "getaddrinfo",
+            names,
+            "the getaddrinfo of the socket module returns enumeration members",
+        )
 
 
 if __name__ == "__main__":
--- a/tests/unit/test_light_types.py
+++ b/tests/unit/test_light_types.py
@@ -1,4 +1,4 @@
-"""The stand-ins for `typing` and `enum` make types that behave as the modules' own do."""
+"""Types created by the substitutes for `typing` and `enum`, compared with those of the modules."""
 
 import enum
 import typing
@@ -31,28 +31,28 @@
 
 
 def define(text: str, names: Mapping[str, object], name: str) -> typing.Any:  # noqa: ANN401
-    """Return a class that is defined by a text with the names of a module."""
+    """Return the class `name` that is defined by the code `text` with the names of a module."""
     scope: dict[str, object] = {**names, "__name__": "module"}
     exec(text, scope)
     return scope[name]
 
 
-def raised(act: typing.Callable[[], object]) -> type[BaseException] | None:
-    """Return what kind of error an action ends with."""
+def raised_type(action: typing.Callable[[], object]) -> type[BaseException] | None:
+    """Return the type of the exception that an action raises, or None."""
     try:
-        act()
+        action()
     except Exception as error:
         return type(error)
     return None
 
 
 class NamedTupleTest(unittest.TestCase):
-    def test_records_are_alike(self) -> None:
-        described = []
+    def test_named_tuples_match_typing(self) -> None:
+        results = []
         for names in (vars(typing), light_types.typing_names()):
             record = define(RECORD, names, "Record")
             one = record("a", (1, 2))
-            described.append(
+            results.append(
                 (
                     (record.__name__, record.__module__, record.__doc__, record.__match_args__),
                     (record._fields, record._field_defaults),
@@ -64,34 +64,34 @@
                     record[int]("b", ()),
                 )
             )
-        self.assertEqual(described[0], described[1])
+        self.assertEqual(results[0], results[1])
 
-    def test_wrong_use_is_refused_alike(self) -> None:
-        kinds = []
+    def test_invalid_use_raises_the_same_errors(self) -> None:
+        error_types = []
         for names in (vars(typing), light_types.typing_names()):
             record = define(RECORD, names, "Record")
             one = record("a", ())
-            kinds.append(
+            error_types.append(
                 [
-                    raised(lambda record=record: record("a")),
-                    raised(lambda record=record: record("a", (), 1.0, 2)),
-                    raised(lambda record=record: record("a", (), weigth=1.0)),
-                    raised(lambda record=record: record._make(["a"])),
-                    raised(lambda one=one: one._replace(weigth=1.0)),
-                    raised(lambda one=one: setattr(one, "name", "b")),
-                    raised(lambda one=one: setattr(one, "other", "b")),
+                    raised_type(lambda record=record: record("a")),
+                    raised_type(lambda record=record: record("a", (), 1.0, 2)),
+                    raised_type(lambda record=record: record("a", (), weigth=1.0)),
+                    raised_type(lambda record=record: record._make(["a"])),
+                    raised_type(lambda one=one: one._replace(weigth=1.0)),
+                    raised_type(lambda one=one: setattr(one, "name", "b")),
+                    raised_type(lambda one=one: setattr(one, "other", "b")),
                 ]
             )
-        self.assertEqual(kinds[0], kinds[1])
-        self.assertNotIn(None, kinds[0])
+        self.assertEqual(error_types[0], error_types[1])
+        self.assertNotIn(None, error_types[0])
 
-    def test_a_record_of_many_fields_and_one_of_none(self) -> None:
+    def test_named_tuples_with_many_fields_and_without_fields(self) -> None:
         for text, name in ((LONG, "Long"), ("class Empty(NamedTuple): pass", "Empty")):
-            made = [
+            results = [
                 repr(define(text, names, name)())
                 for names in (vars(typing), light_types.typing_names())
             ]
-            self.assertEqual(made[0], made[1])
+            self.assertEqual(results[0], results[1])
 
     def test_a_class_pattern_matches_by_position(self) -> None:
         record = define(RECORD, light_types.typing_names(), "Record")
@@ -103,11 +103,11 @@
 
 
 class EnumTest(unittest.TestCase):
-    def test_plain_enumerations_are_alike(self) -> None:
-        described = []
+    def test_enumerations_match_enum(self) -> None:
+        results = []
         for names in (vars(enum), light_types.enum_names()):
             state = define(STATE, names, "State")
-            described.append(
+            results.append(
                 (
                     [(member.name, member.value, member.upper()) for member in state],
                     (len(state), state("leaving") is state.GONE is state.LEAVING),
@@ -119,14 +119,14 @@
                         isinstance(state.READY, state),
                     ),
                     (state.__doc__, state.__name__, state.__module__),
-                    raised(lambda state=state: state("unknown")),
-                    raised(lambda state=state: state["UNKNOWN"]),
-                    raised(lambda state=state: state.UNKNOWN),
+                    raised_type(lambda state=state: state("unknown")),
+                    raised_type(lambda state=state: state["UNKNOWN"]),
+                    raised_type(lambda state=state: state.UNKNOWN),
                 )
             )
-        self.assertEqual(described[0], described[1])
+        self.assertEqual(results[0], results[1])
 
-    def test_values_that_are_given_by_number(self) -> None:
+    def test_auto_values(self) -> None:
         text = "class Mode(Enum):\n    FIRST = auto()\n    SECOND = auto()\n"
         for names in (vars(enum), light_types.enum_names()):
             mode = define(text, names, "Mode")
