--- a/src/beamloom/runtime/http_client.py
+++ b/src/beamloom/runtime/http_client.py
@@ -1,10 +1,10 @@
 """A persistent HTTP/1.1 connection; each call has a deadline.
 
 httptools is the parser, since importing aiohttp would delay the start of a node. A connection is
-closed after any error. When it is used again, or when the server may delay the answer, the kernel
-is told to probe it and to limit unacknowledged data, so that a silent connection is detected
-before the deadline. The first call on a new connection goes without: the connection has just been
-established, and acknowledgements may be late while a whole fleet starts.
+closed after any error. From the second call on, or if the server may delay the answer, keep-alive
+probes and a limit on unacknowledged data let the kernel detect a silent connection before the
+deadline. They are not used for the first call, since the connection has just been established and
+acknowledgements may be late while a whole fleet starts.
 """
 
 from __future__ import annotations
