--- a/src/beamloom/runtime/admission_metrics.py
+++ b/src/beamloom/runtime/admission_metrics.py
@@ -12,7 +12,7 @@
 TENANT_LABEL = "tenant"
 
 
-def read_tenants(core: NodeCore) -> Iterator[Metric]:
+def read_tenant_metrics(core: NodeCore) -> Iterator[Metric]:
     """Yield the metrics of every tenant, and the refused retries of every service."""
     tenants = core.admission.snapshot()
     open_flows = {name: float(status.open_flows) for name, status in tenants.items()}
--- a/src/beamloom/runtime/node_metrics.py
+++ b/src/beamloom/runtime/node_metrics.py
@@ -8,7 +8,7 @@
 from beamloom.node.core import NodeCore
 from beamloom.replication.backend_status.watchers import BackendWatchersStatus
 from beamloom.replication.budget import BudgetSnapshot
-from beamloom.runtime.admission_metrics import read_tenants
+from beamloom.runtime.admission_metrics import read_tenant_metrics
 from beamloom.runtime.balancer import BalancerProcess
 from beamloom.telemetry.counters import Metric, MetricKind, Sample, counter, gauge, labelled
 
@@ -56,7 +56,7 @@
         yield from _packets(core)
         yield from _members(core)
         yield from _configuration(core)
-        yield from read_tenants(core)
+        yield from read_tenant_metrics(core)
         yield from _backends(core)
         yield from _budget(core.channel.snapshot())
         yield from self._process()
