--- a/src/beamloom/telemetry/__init__.py
+++ b/src/beamloom/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Counters, structured logs and explanations."""
+"""Metrics, latency histograms and structured logs."""
--- a/src/beamloom/telemetry/counters.py
+++ b/src/beamloom/telemetry/counters.py
@@ -1,7 +1,7 @@
-"""Metrics in the Prometheus text format, made from snapshots when they are scraped.
+"""Metrics in the Prometheus text format, built from snapshots at each scrape.
 
-Nothing on the packet path touches a metric: components count in plain integers, and a collector
-reads these once per scrape. Every node has a registry of its own, so that several nodes may share a
+Components count in plain integers, so that the packet path does no work on metrics; a collector
+reads the counts once per scrape. Each node has its own registry, so that several nodes can share a
 process.
 """
 
@@ -23,7 +23,7 @@
 
 
 class MetricKind(Enum):
-    """Whether a metric only rises, may also fall, or counts observations by their size."""
+    """Whether a metric only increases, may also decrease, or is a histogram."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One value of a metric and the values of the metric's labels."""
+    """One value of a metric, with its label values."""
 
     value: float
     labels: tuple[str, ...] = ()
@@ -40,9 +40,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """A metric as read from a snapshot; `label_names` go with each sample's `labels`.
+    """A metric of a snapshot; `label_names` are the names of each sample's `labels`.
 
-    `latencies` is what a histogram tells; it has no samples.
+    A histogram has `latencies` and no samples.
     """
 
     name: str
@@ -74,13 +74,13 @@
 def labelled(
     name: str, kind: MetricKind, help_text: str, label: str, values: Mapping[str, float]
 ) -> Metric:
-    """Return a metric with one label, from its values by the label's value."""
-    samples = tuple(Sample(value, (name_of,)) for name_of, value in sorted(values.items()))
+    """Return a metric with one label; `values` maps label values to metric values."""
+    samples = tuple(Sample(value, (label_value,)) for label_value, value in sorted(values.items()))
     return Metric(name, kind, help_text, samples, (label,))
 
 
 class SnapshotCollector(Collector):
-    """Hands what `read` returns to a registry, at each scrape anew."""
+    """Provides the metrics that `read` returns to a registry, at each scrape."""
 
     def __init__(self, read: ReadMetrics) -> None:
         self._read = read
@@ -90,13 +90,13 @@
         return iter(())
 
     def collect(self) -> Iterator[PrometheusMetric]:
-        """Yield the metrics as they are now."""
+        """Yield the current metrics."""
         for metric in self._read():
             yield _family(metric)
 
 
 def make_registry(read: ReadMetrics) -> CollectorRegistry:
-    """Return a registry of one node's metrics."""
+    """Return a registry with the metrics of one node."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(SnapshotCollector(read))
     return registry
--- a/src/beamloom/telemetry/event_log.py
+++ b/src/beamloom/telemetry/event_log.py
@@ -1,10 +1,9 @@
-"""Structured lines that are bounded and never block: for processes that must not wait for a reader.
+"""A structured log with bounded memory, for processes that must not wait for its reader.
 
-`record` keeps an event in memory, at most EVENTS_KEPT of them and at most `lines_per_second` on
-average of each class; `flush` renders and writes them. What does not fit is counted, and the next
-line that is written carries the number. Lines have the form that structlog's JSONRenderer gives.
-structlog itself is left out: importing it takes a third of a node's start (see
-docs/design/decisions.md).
+`record` queues an event: at most MAX_EVENTS in all, and of each event name `lines_per_second` on
+average. `flush` renders and writes them. Lines that are not queued are counted, and the next line
+of the same event carries their number. Lines have the format of structlog's JSONRenderer; structlog
+itself is not used, as importing it delays a node's start (see docs/design/decisions.md).
 """
 
 from __future__ import annotations
@@ -15,29 +14,29 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-EVENTS_KEPT = 2000
+MAX_EVENTS = 2000
 DEFAULT_LINES_PER_SECOND = 40.0
 BURST_SECONDS = 5.0
-UNWRITTEN_BYTES = 128 << 10
-"""Kept for a reader that is slow: two starts' lines of a fleet with 150 backends."""
+MAX_UNWRITTEN_BYTES = 128 << 10
+"""Output kept for a slow reader; enough for the lines of two starts with 150 backends."""
 
 FieldValue = str | int | float | bool | None
 Write = Callable[[bytes], int]
 
 
-class _Bucket:
-    """A token bucket: `level` lines may be written now."""
+class _TokenBucket:
+    """A token bucket for one event; `left_out` counts lines dropped since the last queued one."""
 
-    __slots__ = ("filled_at", "left_out", "level")
+    __slots__ = ("left_out", "refilled_at", "tokens")
 
-    def __init__(self, level: float, filled_at: float) -> None:
-        self.level = level
-        self.filled_at = filled_at
+    def __init__(self, tokens: float, refilled_at: float) -> None:
+        self.tokens = tokens
+        self.refilled_at = refilled_at
         self.left_out = 0
 
 
 class EventLog:
-    """The log of one process. `clock` is steady, in seconds; `time_of_day` stamps the lines."""
+    """The log of one process; `clock` is monotonic, and `time_of_day` provides the timestamps."""
 
     def __init__(
         self,
@@ -53,34 +52,34 @@
         self._clock = clock
         self._time_of_day = time_of_day
         self._rate = lines_per_second
-        self._buckets: dict[str, _Bucket] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
         self._events: deque[dict[str, FieldValue]] = deque()
         self._unwritten = b""
 
     def allows(self, event: str) -> bool:
-        """Whether a line of this event may be recorded now; counts it as left out if not."""
+        """Whether a line of this event may be queued now; if not, it is counted as left out."""
         now = self._clock()
         bucket = self._buckets.get(event)
         if bucket is None:
-            bucket = self._buckets[event] = _Bucket(self._rate * BURST_SECONDS, now)
-        gained = (now - bucket.filled_at) * self._rate
-        bucket.level = min(self._rate * BURST_SECONDS, bucket.level + gained)
-        bucket.filled_at = now
-        if bucket.level < 1.0 or len(self._events) >= EVENTS_KEPT:
+            bucket = self._buckets[event] = _TokenBucket(self._rate * BURST_SECONDS, now)
+        gained = (now - bucket.refilled_at) * self._rate
+        bucket.tokens = min(self._rate * BURST_SECONDS, bucket.tokens + gained)
+        bucket.refilled_at = now
+        if bucket.tokens < 1.0 or len(self._events) >= MAX_EVENTS:
             bucket.left_out += 1
             self.counters["left_out"] += 1
             return False
         return True
 
     def record(self, event: str, fields: dict[str, FieldValue]) -> None:
-        """Keep a line for the next flush, if the bound allows it."""
+        """Queue a line for the next flush, if the limits allow it."""
         if self.allows(event):
             self.append(event, fields)
 
     def append(self, event: str, fields: dict[str, FieldValue]) -> None:
-        """Keep a line that `allows` has just let pass: for fields that are costly to make."""
+        """Queue a line that `allows` has just permitted, if its fields are costly to build."""
         bucket = self._buckets[event]
-        bucket.level -= 1.0
+        bucket.tokens -= 1.0
         line: dict[str, FieldValue] = {
             "time": round(self._time_of_day(), 4),
             "node": self._node,
@@ -93,7 +92,7 @@
         self._events.append(line)
 
     def flush(self) -> None:
-        """Write what is kept, as far as the reader takes it."""
+        """Write the queued lines, as far as this is possible without blocking."""
         parts = [self._unwritten]
         parts.extend(render_line(line) for line in self._events)
         self._events.clear()
@@ -108,13 +107,13 @@
             self.counters["write_failed"] += 1
             self._unwritten = b""
             return
-        self._keep_rest(data, written)
+        self._keep_unwritten(data, written)
 
-    def _keep_rest(self, data: bytes, written: int) -> None:
-        """Keep what did not fit for the next flush, as whole lines and as far as the bound goes."""
+    def _keep_unwritten(self, data: bytes, written: int) -> None:
+        """Keep unwritten data up to a line end for the next flush, within MAX_UNWRITTEN_BYTES."""
         end = len(data)
-        if end - written > UNWRITTEN_BYTES:
-            end = data.rfind(b"\n", written, written + UNWRITTEN_BYTES) + 1 or written
+        if end - written > MAX_UNWRITTEN_BYTES:
+            end = data.rfind(b"\n", written, written + MAX_UNWRITTEN_BYTES) + 1 or written
         self._unwritten = data[written:end]
         self.counters["left_out"] += data.count(b"\n", end)
 
@@ -125,7 +124,7 @@
 
 
 def standard_output() -> Write:
-    """Return a writer to standard output that does not wait for its reader."""
+    """Return a non-blocking writer to standard output; it discards all data if that fails."""
     descriptor = 1
     try:
         os.set_blocking(descriptor, False)
--- a/src/beamloom/telemetry/histogram.py
+++ b/src/beamloom/telemetry/histogram.py
@@ -1,4 +1,4 @@
-"""A latency histogram that costs one bisection an observation, with Prometheus's buckets."""
+"""A latency histogram with Prometheus buckets; an observation costs one bisection."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LatencyHistogram:
-    """Counts of observations by upper bound in seconds; the last count is of those above all."""
+    """Observations per bucket of BOUNDS_SECONDS; the last count is of those above all bounds."""
 
     __slots__ = ("counts", "total_seconds")
 
@@ -25,7 +25,7 @@
         self.total_seconds += seconds
 
     def cumulative(self) -> list[tuple[str, float]]:
-        """Return the pairs of upper bound and count up to it that Prometheus expects."""
+        """Return the pairs of upper bound and cumulative count that Prometheus expects."""
         pairs: list[tuple[str, float]] = []
         count = 0
         for bound, within in zip((*map(str, BOUNDS_SECONDS), "+Inf"), self.counts, strict=True):
--- a/src/beamloom/telemetry/log_format.py
+++ b/src/beamloom/telemetry/log_format.py
@@ -1,4 +1,4 @@
-"""The forms of log lines."""
+"""The formats of log lines."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LogFormat(StrEnum):
-    """Forms of log lines."""
+    """Format of log lines: for reading on a console, or JSON."""
 
     CONSOLE = "console"
     JSON = "json"
--- a/src/beamloom/telemetry/logs.py
+++ b/src/beamloom/telemetry/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs: lines for changes of state only, and a bound on how many.
+"""Structured logs of state changes, at a bounded rate.
 
-Counters tell how often something happens; a line tells that a state changed. Something that flaps
-writes at most LINES_PER_WINDOW lines per window and subject; the next line that passes carries the
-number of those left out. Traces are plain: the values of variables, keys among them, stay out.
+Frequencies belong in counters. For each event, node and subject at most LINES_PER_WINDOW lines pass
+in a window, so that a flapping state does not flood the log; the next line that passes carries the
+number of suppressed ones. Tracebacks leave out the values of variables, which may be keys.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 LINES_PER_WINDOW = 10
 WINDOW_SECONDS = 60.0
-MAXIMUM_SUBJECTS = 4096
+MAX_SUBJECTS = 4096
 SUBJECT_FIELDS = ("node", "subject")
 
 
@@ -33,7 +33,7 @@
 
 
 class LineLimit:
-    """A structlog processor that drops lines of one event and subject beyond the bound."""
+    """A structlog processor that limits the lines of each event, node and subject."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.counters: Counter[str] = Counter()
@@ -41,7 +41,7 @@
         self._windows: dict[tuple[object, ...], _Window] = {}
 
     def __call__(self, logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
-        """Return the line, or raise DropEvent where it is one too many."""
+        """Return the line, or raise DropEvent if its window is full."""
         window = self._window((event.get("event"), *(event.get(key) for key in SUBJECT_FIELDS)))
         if window.lines >= LINES_PER_WINDOW:
             window.suppressed += 1
@@ -57,27 +57,27 @@
         now = self._clock()
         window = self._windows.get(key)
         if window is None:
-            self._forget_ended(now)
+            self._evict_expired(now)
             window = self._windows[key] = _Window(now)
         elif now - window.started >= WINDOW_SECONDS:
             window.started = now
             window.lines = 0
         return window
 
-    def _forget_ended(self, now: float) -> None:
-        """Keep the table small; where nothing has ended, everything starts anew."""
-        if len(self._windows) < MAXIMUM_SUBJECTS:
+    def _evict_expired(self, now: float) -> None:
+        """Remove windows that have ended from a full table, or all if that does not suffice."""
+        if len(self._windows) < MAX_SUBJECTS:
             return
         kept = {
             key: window
             for key, window in self._windows.items()
             if now - window.started < WINDOW_SECONDS
         }
-        self._windows = kept if len(kept) < MAXIMUM_SUBJECTS else {}
+        self._windows = kept if len(kept) < MAX_SUBJECTS else {}
 
 
 def configure_logs(log_format: LogFormat, stream: TextIO | None = None) -> LineLimit:
-    """Set up structlog for the whole process and return the bound; its `counters` are metrics."""
+    """Configure structlog for the whole process; return the limit, which counts dropped lines."""
     limit = LineLimit()
     target = sys.stderr if stream is None else stream
     processors: list[Processor] = [
--- a/tests/unit/telemetry/test_event_log.py
+++ b/tests/unit/telemetry/test_event_log.py
@@ -1,13 +1,13 @@
-"""The event log is bounded, never blocks, and tells how much it left out."""
+"""The event log has bounded memory, never blocks, and counts the lines that it drops."""
 
 import json
 import unittest
 
-from beamloom.telemetry.event_log import BURST_SECONDS, EVENTS_KEPT, UNWRITTEN_BYTES, EventLog
+from beamloom.telemetry.event_log import BURST_SECONDS, MAX_EVENTS, MAX_UNWRITTEN_BYTES, EventLog
 
 
 class Reader:
-    """A reader that takes so many bytes at each write; None raises as a full pipe does."""
+    """A pipe that accepts `room` bytes per write; with None it is full and raises."""
 
     def __init__(self) -> None:
         self.room: int | None = 1 << 30
@@ -42,7 +42,7 @@
         line = {"time": 1000.0, "node": "n1", "event": "Started", "zone": "west"}
         self.assertEqual(self.reader.lines(), [line])
 
-    def test_the_rate_is_bounded_and_what_is_left_out_is_told(self) -> None:
+    def test_the_rate_is_bounded_and_dropped_lines_are_counted(self) -> None:
         burst = int(10 * BURST_SECONDS)
         for _ in range(burst + 30):
             self.log.record("FlowPlaced", {})
@@ -56,13 +56,13 @@
         self.assertEqual(self.log.counters["left_out"], 30)
 
     def test_memory_is_bounded(self) -> None:
-        for number in range(EVENTS_KEPT + 50):
+        for number in range(MAX_EVENTS + 50):
             self.log.record(f"Event{number}", {})
         self.log.flush()
-        self.assertEqual(len(self.reader.lines()), EVENTS_KEPT)
+        self.assertEqual(len(self.reader.lines()), MAX_EVENTS)
 
     def test_what_does_not_fit_is_written_later_and_nothing_waits(self) -> None:
-        """Found in inc-7d88: no start told that the node was ready, after 150 lines of backends."""
+        """Regression: the line for a ready node was lost after 150 lines of backends."""
         for room in (None, 70):
             with self.subTest(room=room):
                 self.setUp()
@@ -76,23 +76,23 @@
                 self.assertEqual([line["event"] for line in self.reader.lines()], list("ABCD"))
                 self.assertEqual(self.log.counters["left_out"], 0)
 
-    def test_a_reader_that_takes_nothing_costs_lines_and_no_more_memory(self) -> None:
+    def test_a_blocked_reader_costs_lines_and_bounded_memory(self) -> None:
         text = "x" * 1000
         self.reader.room = None
         rounds, each = 40, 10
         for number in range(rounds):
             self.now = float(number)
             for _ in range(each):
-                self.log.record("Told", {"text": text, "number": number})
+                self.log.record("Repeated", {"text": text, "number": number})
             self.log.flush()
         self.reader.room = 1 << 30
         self.log.flush()
         lines = self.reader.lines()
-        self.assertLess(len(lines) * len(text), UNWRITTEN_BYTES)
-        self.assertGreater(len(lines) * len(text), 0.8 * UNWRITTEN_BYTES)
+        self.assertLess(len(lines) * len(text), MAX_UNWRITTEN_BYTES)
+        self.assertGreater(len(lines) * len(text), 0.8 * MAX_UNWRITTEN_BYTES)
         self.assertEqual(self.log.counters["left_out"], rounds * each - len(lines))
 
-    def test_a_line_that_was_begun_is_ended_where_others_are_lost(self) -> None:
+    def test_a_partially_written_line_is_completed_when_others_are_dropped(self) -> None:
         for number in range(150):
             self.log.record(f"Long{number}", {"text": "x" * 1000})
         self.log.record("Last", {})
@@ -105,7 +105,7 @@
         self.assertEqual((events[0], events[-1]), ("Long0", "Next"))
         self.assertNotIn("Last", events)
 
-    def test_a_reader_that_is_gone_ends_nothing(self) -> None:
+    def test_a_closed_pipe_raises_nothing(self) -> None:
         def broken(_data: bytes) -> int:
             raise BrokenPipeError
 
--- a/tests/unit/telemetry/test_logs.py
+++ b/tests/unit/telemetry/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded per subject, and what was left out is told."""
+"""Log lines are limited per subject, and suppressed lines are counted."""
 
 import io
 import json
@@ -9,7 +9,7 @@
 from beamloom.telemetry.log_format import LogFormat
 from beamloom.telemetry.logs import (
     LINES_PER_WINDOW,
-    MAXIMUM_SUBJECTS,
+    MAX_SUBJECTS,
     WINDOW_SECONDS,
     LineLimit,
     configure_logs,
@@ -27,7 +27,7 @@
         except structlog.DropEvent:
             return None
 
-    def test_flapping_subject_is_cut_off_and_the_rest_is_counted(self) -> None:
+    def test_lines_of_a_flapping_subject_are_suppressed_and_counted(self) -> None:
         passed = [self.passes("a") for _ in range(LINES_PER_WINDOW + 5)]
         self.assertEqual(passed[LINES_PER_WINDOW:], [None] * 5)
         self.assertIsNotNone(self.passes("b"))
@@ -38,13 +38,13 @@
         self.assertEqual(self.limit.counters["suppressed"], 5)
 
     def test_many_subjects_take_bounded_memory(self) -> None:
-        for number in range(3 * MAXIMUM_SUBJECTS):
+        for number in range(3 * MAX_SUBJECTS):
             self.passes(str(number))
-        self.assertLessEqual(len(self.limit._windows), MAXIMUM_SUBJECTS)
+        self.assertLessEqual(len(self.limit._windows), MAX_SUBJECTS)
 
 
 class ConfigureLogsTest(unittest.TestCase):
-    def test_traces_leave_out_the_values_of_variables(self) -> None:
+    def test_tracebacks_leave_out_the_values_of_variables(self) -> None:
         self.addCleanup(structlog.reset_defaults)
         for log_format in LogFormat:
             stream = io.StringIO()
