--- a/src/beamloom/platform/__init__.py
+++ b/src/beamloom/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its packet layout, names, paths and formats, translated to beamloom's types.
+"""The adapter to the users' platform: translates its packets, names, paths and file formats.
 
-Nothing in this folder decides anything, and nothing outside it (and `deploy/`) knows these names.
-The page they come from is the users' PROTOCOL; what is unclear there is in docs/QUESTIONS.md.
+It makes no decisions, and only it and `deploy/` use the platform's names. They are specified on the
+users' PROTOCOL page; questions that the page leaves open are in docs/QUESTIONS.md.
 """
--- a/src/beamloom/platform/errors.py
+++ b/src/beamloom/platform/errors.py
@@ -1,10 +1,10 @@
-"""What can be wrong with what the platform hands over."""
+"""Errors in the data that the platform provides."""
 
 from __future__ import annotations
 
 
 class PlatformFormatError(ValueError):
-    """Something of the platform's is not as its pages say; the text names the field and remedy."""
+    """The platform's data is not in its documented format; the text says what cannot be read."""
 
 
 class PlatformSettingsError(PlatformFormatError):
--- a/src/beamloom/platform/node_settings.py
+++ b/src/beamloom/platform/node_settings.py
@@ -1,6 +1,6 @@
-"""The settings file that the platform lays for each process.
+"""The settings file that the platform writes for each process.
 
-TOML, or JSON with the same fields where a role names `deploy/node-settings.json` as its template.
+It is TOML, or JSON with the same fields if a role names `deploy/node-settings.json` as template.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 
 SETTINGS_VARIABLE = "BEAMLOOM_CONFIG"
 METRICS_VARIABLE = "BEAMLOOM_METRICS_PORT"
-"""Set by deploy/system.toml, next to the address that it tells the platform."""
+"""Set by deploy/system.toml, next to the address of the metrics that it gives the platform."""
 DEFAULT_SETTINGS_PATH = "/etc/beamloom/node.toml"
 MARK_OF_SETTINGS = "bind-addrs"
-"""A table that only this file has."""
+"""A table that only this kind of file has; it identifies the kind."""
 
 
 def settings_path() -> str:
-    """Return where the settings file lies."""
+    """Return the path of the settings file."""
     return os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
 
 
 def read_settings(path: str | os.PathLike[str]) -> TokenNodeSettings:
-    """Read the settings file; raises PlatformSettingsError, which tells all faults at once."""
+    """Read the settings file; raises PlatformSettingsError, whose text names every fault."""
     try:
         document = read_document(path)
     except (OSError, ValueError) as error:
@@ -48,16 +48,16 @@
 
 
 def check_settings(document: Mapping[str, Any], path: str) -> TokenNodeSettings:
-    """Translate the fields of a settings file; raises PlatformSettingsError."""
+    """Convert the contents of a settings file; raises PlatformSettingsError."""
     fields = FieldReader(document)
     limits = _limits(fields)
     settings = TokenNodeSettings(
         node=fields.read("node-name", to_text, ""),
         host=fields.read("ip", to_text, ""),
         zone=fields.read("zone", to_text, ""),
-        packets=fields.read("bind-addrs.datagram-addr", to_endpoint, _NOWHERE),
-        readiness=fields.read("bind-addrs.readiness", to_endpoint, _NOWHERE),
-        store=fields.read("platform.address", to_endpoint, _NOWHERE),
+        packets=fields.read("bind-addrs.datagram-addr", to_endpoint, _NO_ENDPOINT),
+        readiness=fields.read("bind-addrs.readiness", to_endpoint, _NO_ENDPOINT),
+        store=fields.read("platform.address", to_endpoint, _NO_ENDPOINT),
         peer_port=fields.read("port-range", to_first_port, 0),
         metrics=_metrics_endpoint(document),
         seeds=fields.read("seeds", to_hosts, (), required=False),
@@ -80,15 +80,15 @@
 
 
 def _limits(fields: FieldReader) -> CheckedCapacity:
-    """Return what the machine can do; what is absurd or missing counts as the least.
+    """Return the machine's capacity; missing and implausible values are replaced by the minimum.
 
-    The share is of one core, and `cores` tells how many times as fast that core runs.
+    `cpu-share` is a share of one core, and `cores` is how many times as fast that core runs.
     """
     names = ("cpu-share", "link-mbps", "memory-mb", "max-fds")
-    told = [fields.read(f"limits.{name}", to_number, None, required=False) for name in names]
+    values = [fields.read(f"limits.{name}", to_number, None, required=False) for name in names]
     speed = fields.read("limits.cores", to_number, 1.0, required=False)
-    cores = None if told[0] is None else told[0] * speed
-    return check_capacity((cores, *told[1:]))
+    cores = None if values[0] is None else values[0] * speed
+    return check_capacity((cores, *values[1:]))
 
 
 def _cold_start_limits(fields: FieldReader) -> ColdStartLimits | None:
@@ -97,7 +97,7 @@
     return None if excess is None else ColdStartLimits(excess, slack)
 
 
-_NOWHERE = Endpoint("", 0)
+_NO_ENDPOINT = Endpoint("", 0)
 
 
 def _metrics_endpoint(document: Mapping[str, Any]) -> Endpoint | None:
--- a/src/beamloom/platform/store_encoding.py
+++ b/src/beamloom/platform/store_encoding.py
@@ -1,4 +1,4 @@
-"""Objects and answers of the platform's store as the store itself writes them; for stand-ins."""
+"""Encodes objects and answers in the format of the platform's store, for stand-ins and tests."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class StoreCall(NamedTuple):
-    """A call to the store. `watch` is the revision to watch from; `wait_seconds` goes with it.
+    """A call to the store. `watch` is the revision to watch from, for at most `wait_seconds`.
 
-    `stale` asks for an answer that may be old.
+    `stale` allows an answer that is out of date.
     """
 
     kind: str
@@ -28,7 +28,7 @@
 
 
 def parse_call(target: str) -> StoreCall | None:
-    """Read path and query of a call; None where it is no call for objects."""
+    """Parse the path and query of a call; None if it is not a call for objects."""
     parts = urlsplit(target)
     if not parts.path.startswith(OBJECTS_PATH):
         return None
@@ -41,29 +41,29 @@
 
 
 def encode_object(name: str, revision: int, made: int, content: object) -> dict[str, Any]:
-    """Return an object as the store shows it."""
+    """Return an object in the store's format."""
     meta = {"name": name, "revision": revision, "made": made, "finalizers": [], "deleting": False}
     return {"meta": meta, "spec": content, "status": None}
 
 
 def encode_list(objects: Iterable[Mapping[str, Any]], more: bool, revision: int) -> dict[str, Any]:
-    """Return the answer to a list."""
+    """Return the answer to a list request."""
     return {"items": list(objects), "more": more, "at": revision}
 
 
 def encode_changes(changes: Iterable[tuple[bool, object]], revision: int) -> dict[str, Any]:
-    """Return the answer to a watch; each change is whether the object has gone, and the object."""
+    """Return the answer to a watch; a change is whether the object was removed, and the object."""
     events = [{"gone": gone, "object": content} for gone, content in changes]
     return {"events": events, "at": revision}
 
 
 def encode_backend(record: BackendRecord) -> dict[str, Any]:
-    """Return the entry by which an endpoint announces itself."""
+    """Return the entry that an endpoint writes for itself."""
     return {BACKEND_KEYS[field]: value for field, value in plain_backend(record).items()}
 
 
 def encode_configuration(configuration: RoutingConfiguration) -> dict[str, Any]:
-    """Return what an operator writes."""
+    """Return the configuration that an operator writes."""
     routes = []
     for route in configuration.routes:
         parts = [{"service": part.service, "weight": part.weight} for part in route.parts]
@@ -92,7 +92,7 @@
 
 
 def encode_settings(settings: TokenNodeSettings) -> str:
-    """Return the settings file of a node, as far as a stand-in gives it."""
+    """Return a node's settings file, with the fields that stand-ins set."""
     seeds = ", ".join(f'"{seed}:1"' for seed in settings.seeds)
     zones = "\n".join(f'"{zone}" = "region"' for zone in settings.zones)
     seconds, limits = settings.evacuate_seconds, settings.cold_starts
--- a/src/beamloom/platform/store_objects.py
+++ b/src/beamloom/platform/store_objects.py
@@ -1,4 +1,4 @@
-"""The platform's store: paths of calls, and its objects translated to beamloom's records."""
+"""The platform's store: paths of calls, and conversion of its objects to beamloom's records."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 STALE_QUERY = "stale=1"
 
 ERA_HEADER = b"store-era"
-"""In all answers of the store: how often it has lost acknowledged changes, as a rising number."""
+"""Sent with every answer of the store; rises each time that it loses acknowledged changes."""
 
 BACKEND_KEYS = {
     "service": "service",
@@ -49,55 +49,55 @@
     "sequence": "sequence",
     "born_at": "born",
 }
-"""The wire's names of what an endpoint says of itself, by the field that holds it."""
+"""Keys of an endpoint's entry on the wire, by the name of the field."""
 TERM_KEYS = {
     "kind": "type",
     "timeout_seconds": "timeout-ms",
     "objective_seconds": "target-latency-ms",
     "priority": "priority",
 }
-"""The wire's names of what a route promises, by the field that holds it."""
+"""Keys of a route's terms on the wire, by the name of the field."""
 
 Record = TypeVar("Record")
 Translate = Callable[[str, Any], Record]
-"""Makes a record of an object's name and content; the content may be null."""
+"""Builds a record from an object's name and content; the content may be null."""
 
 
 def read_era(headers: Mapping[bytes, bytes]) -> int | None:
-    """Return the era that an answer tells; None where it tells none that can be read."""
+    """Return the era in an answer's headers; None if it is missing or malformed."""
     value = headers.get(ERA_HEADER, b"")
     return int(value) if value.isdigit() else None
 
 
 def list_path(kind: str, request: ListRequest) -> str:
-    """Return the path that lists a kind."""
-    query = [f"after={_quoted(request.after)}"] if request.after else []
+    """Return the path that lists the objects of a kind."""
+    query = [f"after={_percent_encode(request.after)}"] if request.after else []
     if request.stale:
         query.append(STALE_QUERY)
     return f"{OBJECTS_PATH}{kind}" + (f"?{'&'.join(query)}" if query else "")
 
 
-def _quoted(text: str) -> str:
-    """Return a text as a query holds it; few lists have a second page, so this is imported late."""
+def _percent_encode(text: str) -> str:
+    """Encode a query value; the import is late, as few lists have a second page."""
     from urllib.parse import quote
 
     return quote(text, safe="")
 
 
 def watch_path(kind: str, request: WatchRequest, wait_seconds: float) -> str:
-    """Return the path that waits for changes of a kind."""
+    """Return the path that waits for changes of the objects of a kind."""
     wait = int(wait_seconds * MILLISECONDS)
     return f"{OBJECTS_PATH}{kind}?watch={number_of(request.revision)}&wait-ms={wait}"
 
 
 def secret_path(*, stale: bool) -> str:
-    """Return the path of the fleet's secret, an object of beamloom's own."""
+    """Return the path of the fleet's secret, an object that beamloom itself creates."""
     query = f"?{STALE_QUERY}" if stale else ""
     return f"{OBJECTS_PATH}{SECRETS_KIND}/{TOKEN_SECRET_NAME}{query}"
 
 
 def new_secret_path() -> str:
-    """Return the path on which the fleet's secret is made."""
+    """Return the path at which the fleet's secret is created."""
     return f"{OBJECTS_PATH}{SECRETS_KIND}"
 
 
@@ -108,7 +108,7 @@
 
 
 def read_secret(body: bytes) -> bytes:
-    """Read the secret out of its object; raises PlatformFormatError."""
+    """Parse the object that holds a secret; raises PlatformFormatError."""
     document = _load(body)
     try:
         return bytes.fromhex(document["spec"]["key"])
@@ -117,12 +117,12 @@
 
 
 def read_page(body: bytes, era: int, translate: Translate[Record]) -> ListPage[Record]:
-    """Read the answer to a list; raises PlatformFormatError. Single faulty objects are named."""
+    """Parse the answer to a list; only faults beyond single objects raise PlatformFormatError."""
     document = _load(body)
-    objects = _Objects(translate, era)
+    objects = _ObjectCollector(translate, era)
     try:
         for entry in document["items"]:
-            objects.take(entry, gone=False)
+            objects.add(entry, gone=False)
         last = objects.names[-1] if objects.names else ""
         more, number = bool(document["more"]), int(document["at"])
     except (KeyError, TypeError, ValueError) as error:
@@ -136,12 +136,12 @@
 
 
 def read_changes(body: bytes, era: int, translate: Translate[Record]) -> ChangeBatch[Record]:
-    """Read the answer to a watch; raises PlatformFormatError. Single faulty objects are named."""
+    """Parse the answer to a watch; only faults beyond single objects raise PlatformFormatError."""
     document = _load(body)
-    objects = _Objects(translate, era)
+    objects = _ObjectCollector(translate, era)
     try:
         for event in document["events"]:
-            objects.take(event["object"], gone=bool(event["gone"]))
+            objects.add(event["object"], gone=bool(event["gone"]))
         revision = objects.revision(int(document["at"]))
     except (KeyError, TypeError, ValueError) as error:
         raise PlatformFormatError(f"changes of the store cannot be read: {error!r}") from error
@@ -149,8 +149,8 @@
     return ChangeBatch(changes, revision, tuple(objects.unreadable), len(body))
 
 
-class _Objects(Generic[Record]):
-    """The last words of one answer of each object; one that cannot be translated is gone."""
+class _ObjectCollector(Generic[Record]):
+    """The last change of each object in an answer; an unreadable object counts as removed."""
 
     def __init__(self, translate: Translate[Record], era: int) -> None:
         self.names: list[str] = []
@@ -160,15 +160,15 @@
         self._era = era
 
     def revision(self, number: int) -> int:
-        """Return the revision of a number of this answer."""
+        """Return the revision of a change number in this answer."""
         return revision_in_era(self._era, number)
 
-    def take(self, entry: Mapping[str, Any], *, gone: bool) -> None:
-        """Take one object; one that does not even tell its name is left out."""
+    def add(self, entry: Mapping[str, Any], *, gone: bool) -> None:
+        """Add an object; without a readable name and revision it is only listed as unreadable."""
         try:
             name, number = str(entry["meta"]["name"]), int(entry["meta"]["revision"])
         except (KeyError, TypeError, ValueError) as error:
-            self.unreadable.append(f"an object without a name: {error!r}")
+            self.unreadable.append(f"an object without a name or revision: {error!r}")
             return
         self.names.append(name)
         record = None
@@ -181,14 +181,14 @@
 
 
 def translate_backend(name: str, entry: Mapping[str, Any]) -> BackendRecord:
-    """Translate the entry of an endpoint, whoever has written it."""
+    """Convert an endpoint's entry; any program may have written it."""
     return read_backend(
         name, {field: entry[key] for field, key in BACKEND_KEYS.items() if key in entry}
     )
 
 
 def translate_configuration(_name: str, entry: Mapping[str, Any]) -> RoutingConfiguration:
-    """Translate the operator's configuration."""
+    """Convert the operator's configuration."""
     limits = entry.get("limits", {})
     return RoutingConfiguration(
         version=int(entry["version"]),
@@ -204,7 +204,7 @@
 
 
 def translate_evacuation(name: str, _entry: Mapping[str, Any] | None) -> ZoneEvacuation:
-    """Translate a request to evacuate a zone: its name is the zone's, it has no fields."""
+    """Convert a request to evacuate a zone: its name is the zone's, its content is ignored."""
     return ZoneEvacuation(name)
 
 
@@ -218,7 +218,7 @@
 
 
 def _load(body: bytes) -> Mapping[str, Any]:
-    """Read an answer; bytes that are no text spoil the object in which they stand, not the rest."""
+    """Parse an answer; undecodable bytes are replaced, so that other objects remain readable."""
     try:
         document: Mapping[str, Any] = json.loads(body.decode(errors="replace"))
     except (ValueError, RecursionError) as error:
--- a/tests/unit/platform_adapter/test_names.py
+++ b/tests/unit/platform_adapter/test_names.py
@@ -1,4 +1,4 @@
-"""Nothing outside the adapter (and deploy/) knows the platform's names."""
+"""No module outside the adapter uses the platform's names."""
 
 import ast
 import unittest
@@ -29,14 +29,14 @@
 
 
 def texts(source: str) -> Iterator[str]:
-    """Yield the string literals of a module, docstrings among them."""
+    """Yield the string literals of a module, including docstrings."""
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Constant) and isinstance(node.value, str):
             yield node.value
 
 
 class PlatformNamesTest(unittest.TestCase):
-    def test_only_the_adapter_knows_them(self) -> None:
+    def test_only_the_adapter_uses_them(self) -> None:
         modules = [path for path in PACKAGE.rglob("*.py") if ADAPTER not in path.parents]
         self.assertGreater(len(modules), 100)
         for path in modules:
@@ -46,7 +46,7 @@
             with self.subTest(module=path.relative_to(PACKAGE)):
                 self.assertEqual(found, set())
 
-    def test_the_adapter_does_know_them(self) -> None:
+    def test_the_adapter_uses_all_of_them(self) -> None:
         known = " ".join(text for path in ADAPTER.glob("*.py") for text in texts(path.read_text()))
         self.assertEqual([name for name in PLATFORM_NAMES if name not in known], [])
 
--- a/tests/unit/platform_adapter/test_packet_layout.py
+++ b/tests/unit/platform_adapter/test_packet_layout.py
@@ -1,4 +1,4 @@
-"""The platform's packets, against the example of its pages."""
+"""Packets of the platform are parsed and built as in the examples of its documentation."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 
 class PacketLayoutTest(unittest.TestCase):
-    def test_the_example_is_read(self) -> None:
+    def test_the_example_is_parsed(self) -> None:
         packet = packet_layout.parse_packet(OPENING)
         assert packet is not None
         self.assertIs(packet.kind, PacketKind.OPEN)
@@ -32,7 +32,7 @@
             packet_layout.describe_flow(packet.flow), "100.64.0.7:40001>198.18.0.1:443"
         )
 
-    def test_the_reset_of_the_example_is_made(self) -> None:
+    def test_the_reset_of_the_example_is_built(self) -> None:
         packet = packet_layout.parse_packet(OPENING)
         assert packet is not None
         refusal = ResetFlow(packet.flow, RefusalReason.NO_ROUTE)
@@ -50,7 +50,7 @@
             self.assertIs(packet.kind, kind)
             self.assertEqual(packet.data_length, 3)
 
-    def test_what_is_shorter_or_longer_than_it_says_is_refused(self) -> None:
+    def test_a_size_other_than_that_in_the_header_is_rejected(self) -> None:
         whole = with_flags(packet_layout.FLAG_ACK, b"abc")
         for data in (b"", whole[:20], whole[:-1], whole + b"d"):
             self.assertIsNone(packet_layout.parse_packet(data))
--- a/tests/unit/platform_adapter/test_store_objects.py
+++ b/tests/unit/platform_adapter/test_store_objects.py
@@ -1,4 +1,4 @@
-"""Paths of the platform's store, and its objects as beamloom's records."""
+"""Paths of calls to the platform's store, and conversion of its objects to records."""
 
 import json
 import unittest
@@ -99,11 +99,11 @@
         zones = [named.record.zone for named in page.records]
         self.assertEqual((zones, page.unreadable), (["laucala", "nabua"], ()))
 
-    def test_secrets_go_there_and_back(self) -> None:
+    def test_an_encoded_secret_can_be_read(self) -> None:
         body = store_objects.encode_secret(b"0123456789abcdef")
         self.assertEqual(store_objects.read_secret(body), b"0123456789abcdef")
 
-    def test_a_faulty_object_costs_itself_only(self) -> None:
+    def test_a_faulty_object_does_not_affect_others(self) -> None:
         faulty = {**BACKEND, "address": "nowhere"}
         items = [stored("i-1", BACKEND), stored("i-xyz", BACKEND), stored("i-3", faulty)]
         body = json.dumps({"items": items, "more": True, "at": 9}).encode()
@@ -123,7 +123,7 @@
         )
         self.assertEqual((batch.revision, len(batch.unreadable)), (in_era(12), 1))
 
-    def test_what_is_not_as_the_pages_say_is_told(self) -> None:
+    def test_malformed_answers_raise_format_errors(self) -> None:
         for body in (b"{", b"[]", b"{}", b'{"items": 3, "more": false, "at": 1}', b"[" * 100_000):
             with self.assertRaises(PlatformFormatError):
                 store_objects.read_page(body, ERA, store_objects.translate_backend)
@@ -132,7 +132,7 @@
 
 
 class ForeignEntryTest(unittest.TestCase):
-    """Another writer's entries name no backend to use, and cost the others nothing."""
+    """Faulty entries of other writers yield no backend and do not affect other entries."""
 
     def read(self, *entries: object) -> ListPage[BackendRecord]:
         items = [stored("i-1", BACKEND), *entries, stored("i-2", {**BACKEND, "born": 17})]
@@ -157,7 +157,7 @@
                 if (field, value) != ("warmup-left-ms", 1.5):
                     self.assert_names_nothing(stored("i-3", {**BACKEND, field: value}))
 
-    def test_a_state_that_is_none(self) -> None:
+    def test_an_unknown_state(self) -> None:
         for state in ("READY", "parked", "ready "):
             self.assert_names_nothing(stored("i-3", {**BACKEND, "state": state}))
 
@@ -172,17 +172,17 @@
         ):
             self.assert_names_nothing(stored("i-3", {**BACKEND, "address": address}))
 
-    def test_a_name_that_is_no_id(self) -> None:
+    def test_a_name_that_is_not_an_id(self) -> None:
         for name in ("i-xyz", "", "i-", "i-" + "f" * 17, "\ud800-12"):
             self.assert_names_nothing(stored(name, BACKEND))
 
-    def test_what_is_no_entry_at_all(self) -> None:
+    def test_values_that_are_not_entries(self) -> None:
         for entry in (None, 7, "garbage", [], {}, {"meta": None}, {"meta": {"name": "i-3"}}):
             self.assert_names_nothing(entry)
         for content in (None, 7, "garbage", [1], {}):
             self.assert_names_nothing(stored("i-3", content))
 
-    def test_bytes_that_are_no_text(self) -> None:
+    def test_undecodable_bytes(self) -> None:
         body = json.dumps({"items": [stored("i-1", BACKEND), stored("i-3", "XX")], "at": 9})
         body = body.replace('"at"', '"more": false, "at"')
         data = body.encode().replace(b"XX", b"\xff\xfe")
@@ -190,7 +190,7 @@
         self.assertEqual([named.name for named in page.records], ["i-1"])
         self.assertEqual(len(page.unreadable), 1)
 
-    def test_a_known_backend_whose_entry_becomes_unreadable_has_gone(self) -> None:
+    def test_a_known_backend_whose_entry_becomes_unreadable_counts_as_removed(self) -> None:
         events = [{"gone": False, "object": stored("i-1", {**BACKEND, "slots": "two"})}]
         body = json.dumps({"events": events, "at": 12}).encode()
         batch = store_objects.read_changes(body, ERA, store_objects.translate_backend)
@@ -198,7 +198,7 @@
             [(change.name, change.record) for change in batch.changes], [("i-1", None)]
         )
 
-    def test_when_a_backend_started(self) -> None:
+    def test_the_start_time_of_a_backend(self) -> None:
         records = {named.name: named.record for named in self.read().records}
         self.assertEqual([records[name].born_at for name in ("i-1", "i-2")], [0, 17])
         self.assertEqual(store_encoding.encode_backend(records["i-2"])["born"], 17)
