--- a/src/beamloom/settings/capacity.py
+++ b/src/beamloom/settings/capacity.py
@@ -1,8 +1,8 @@
-"""What a machine can do, as its settings and its peers tell it, and how it ranks for roles.
+"""The capacity of machines, from settings files and peers' messages, and their rank for roles.
 
-Roles (reading the store, answering peers, opening flows at cold backends) go to machines that can
-bear them. What is told of a machine may be missing or absurd; then the machine counts as one of the
-least, so that it gets no role that it may not be able to bear.
+Roles (reading the store, answering peers, opening flows at cold backends) go to machines with the
+capacity for them. A missing or implausible value is replaced by the minimum, so that a machine of
+unknown capacity gets no role that may overload it.
 """
 
 from __future__ import annotations
@@ -13,10 +13,9 @@
 
 
 class Capacity(NamedTuple):
-    """Processor (in cores), link (a second, each way), memory and open descriptors of a machine.
+    """Processor, link (per second and direction), memory and file descriptors of a machine.
 
-    The defaults are those of the least machine that was met: what a machine is taken for that does
-    not tell.
+    The defaults are the minimum, which stands in for unknown values.
     """
 
     cores: float = 0.05
@@ -26,10 +25,10 @@
 
     @property
     def rank(self) -> int:
-        """How fit the machine is for roles: 0 is the best, `LOWEST_RANK` the least.
+        """The machine's rank for roles: 0 is the best, `LOWEST_RANK` the worst.
 
-        Each doubling of both processor and link makes the rank one better. Neighbouring sizes share
-        a rank, so that roles do not move for a small difference.
+        The rank improves by one with each doubling of both processor and link. Similar machines
+        share a rank, so that roles do not move because of a small difference.
         """
         steps = math.log2(
             min(self.cores / LEAST.cores, self.link_megabits / LEAST.link_megabits),
@@ -38,69 +37,70 @@
 
     @property
     def weight(self) -> int:
-        """How many times the roles of the least machine this one can bear."""
+        """How many times as many roles as the minimum machine this one can take."""
         return weight_of_rank(self.rank)
 
 
 LEAST = Capacity()
-MOST = Capacity(4096.0, 1e7, 1e9, 1e8)
-"""Beyond these no machine is; what is told beyond them is a mistake."""
+MAX_CAPACITY = Capacity(4096.0, 1e7, 1e9, 1e8)
+"""Larger values are treated as mistakes."""
 LOWEST_RANK = 9
-"""Ranks are one decimal digit: nine doublings from the least machine to 0."""
+"""Ranks are one decimal digit: nine doublings lead from the minimum to rank 0."""
 
 
 def weight_of_rank(rank: int) -> int:
-    """Return how many times the roles of the least machine one of a rank can bear."""
+    """Return how many times as many roles as the minimum machine one of this rank can take."""
     return 1 << (LOWEST_RANK - rank)
 
 
-UNITS_ON_THE_WIRE = Capacity(1000.0, 10.0, 1.0, 1.0)
-"""Messages tell whole thousandths of a core, tenths of a megabit, megabytes, descriptors."""
+WIRE_SCALE = Capacity(1000.0, 10.0, 1.0, 1.0)
+"""Messages carry integers: thousandths of a core, tenths of a megabit, megabytes, descriptors."""
 
 
 class CheckedCapacity(NamedTuple):
-    """A capacity that can be relied on, and the names of the fields that were not usable."""
+    """A capacity of usable values, and the names of the fields that had to be replaced."""
 
     capacity: Capacity
     unusable: tuple[str, ...]
 
 
-def check_capacity(told: Sequence[Any]) -> CheckedCapacity:
-    """Return what was told, in the order of the fields, with the least in place of the unusable.
+def check_capacity(values: Sequence[Any]) -> CheckedCapacity:
+    """Return the capacity with these values, in field order, and the minimum for unusable ones.
 
-    Unusable is what is missing, no number, nought or less, or more than any machine has.
+    A value is unusable if it is missing, not a number, not above 0 or above `MAX_CAPACITY`.
     """
-    values = [
-        _usable(told[index] if index < len(told) else None, most) for index, most in enumerate(MOST)
+    usable = [
+        _usable(values[index] if index < len(values) else None, maximum)
+        for index, maximum in enumerate(MAX_CAPACITY)
     ]
-    names = zip(Capacity._fields, values, strict=True)
+    names = zip(Capacity._fields, usable, strict=True)
     unusable = tuple(name for name, value in names if value is None)
-    usable = [least if value is None else value for value, least in zip(values, LEAST, strict=True)]
-    return CheckedCapacity(Capacity(*usable), unusable)
+    filled = [
+        minimum if value is None else value for value, minimum in zip(usable, LEAST, strict=True)
+    ]
+    return CheckedCapacity(Capacity(*filled), unusable)
 
 
-def _usable(value: Any, most: float) -> float | None:  # noqa: ANN401 - whatever was told
-    """Return a number of the range; None for anything else, NaN among it."""
+def _usable(value: Any, maximum: float) -> float | None:  # noqa: ANN401 - unchecked input
+    """Return a number in the range; None for anything else, including NaN."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
-    return float(value) if 0 < value <= most else None
+    return float(value) if 0 < value <= maximum else None
 
 
 def to_wire(capacity: Capacity) -> list[int]:
-    """Return a capacity as messages tell it."""
-    return [
-        max(1, round(value * unit)) for value, unit in zip(capacity, UNITS_ON_THE_WIRE, strict=True)
-    ]
+    """Return a capacity in the units of messages."""
+    return [max(1, round(value * unit)) for value, unit in zip(capacity, WIRE_SCALE, strict=True)]
 
 
-def from_wire(told: Any) -> CheckedCapacity:  # noqa: ANN401 - whatever a peer sent
-    """Return what a peer told; whatever it sent, the result can be relied on."""
-    listed = told if isinstance(told, list | tuple) else ()
-    most = to_wire(MOST)
-    usable = [_usable(value, limit) for value, limit in zip(listed, most, strict=False)]
+def from_wire(values: Any) -> CheckedCapacity:  # noqa: ANN401 - unchecked input of a peer
+    """Return the capacity that a peer sent; unusable values are replaced by the minimum."""
+    listed = values if isinstance(values, list | tuple) else ()
+    maximum = to_wire(MAX_CAPACITY)
+    usable = [_usable(value, limit) for value, limit in zip(listed, maximum, strict=False)]
     return check_capacity(
         [
             None if value is None else value / unit
-            for value, unit in zip(usable, UNITS_ON_THE_WIRE, strict=False)
+            for value, unit in zip(usable, WIRE_SCALE, strict=False)
         ]
     )
--- a/src/beamloom/settings/document.py
+++ b/src/beamloom/settings/document.py
@@ -1,7 +1,7 @@
-"""A settings file as a mapping: TOML, or JSON, which is read in a fraction of the time.
+"""Reads a settings file in TOML or JSON as a mapping.
 
-A node reads its file at each start, and a start is time in which nothing is served; `tomllib` is
-imported only where a file is TOML.
+A node reads its file before it serves. JSON shortens the start: it is parsed faster, and `tomllib`
+is imported only for TOML.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 import os
 from typing import Any
 
-START_OF_JSON = "{"
-"""No TOML file begins so."""
+JSON_PREFIX = "{"
+"""No TOML file begins with this."""
 
 
 def read_document(path: str | os.PathLike[str]) -> dict[str, Any]:
-    """Return the fields of a file; raises OSError or ValueError."""
+    """Return the contents of a file; raises OSError or ValueError."""
     with open(path, encoding="utf-8") as file:
         text = file.read()
-    if text.lstrip().startswith(START_OF_JSON):
+    if text.lstrip().startswith(JSON_PREFIX):
         document: dict[str, Any] = json.loads(text)
         return document
     import tomllib
--- a/src/beamloom/settings/field_reader.py
+++ b/src/beamloom/settings/field_reader.py
@@ -1,4 +1,4 @@
-"""Reading fields of a settings file by their names, with all faults collected."""
+"""Reads the fields of a settings file by name and collects all faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FieldReader:
-    """Reads fields by dotted names; `faults` tells what is wrong with them, by name."""
+    """Reads fields by dotted name; `faults` describes those that are missing or unusable."""
 
     def __init__(self, document: Mapping[str, Any]) -> None:
         self.faults: list[str] = []
@@ -27,7 +27,10 @@
         *,
         required: bool = True,
     ) -> Value | Fallback:
-        """Return a field, or the fallback where it is missing or faulty."""
+        """Return a field, or the fallback if it is missing or unusable, which is a fault.
+
+        A missing field that is not `required` is no fault.
+        """
         value: Any = self._document
         for part in name.split("."):
             value = value.get(part) if isinstance(value, Mapping) else None
@@ -43,9 +46,9 @@
 
 
 def to_text(value: Any) -> str:  # noqa: ANN401 - any value of a file
-    """Return a text; raises ValueError where it is empty or none."""
+    """Return a string that is not empty; raises ValueError otherwise."""
     if not isinstance(value, str) or not value:
-        raise ValueError("a text is expected")
+        raise ValueError("a non-empty string is expected")
     return value
 
 
@@ -66,12 +69,12 @@
 
 
 def to_hosts(value: Any) -> tuple[str, ...]:  # noqa: ANN401 - any value of a file
-    """Return the hosts of several addresses with ports; raises TypeError or ValueError."""
+    """Return the hosts of a list of addresses; raises TypeError or ValueError."""
     return tuple(to_endpoint(entry).host for entry in value)
 
 
 def to_names(value: Any) -> tuple[str, ...]:  # noqa: ANN401 - any value of a file
-    """Return the names of a table's entries; raises TypeError."""
+    """Return the sorted keys of a table; raises TypeError."""
     if not isinstance(value, Mapping):
         raise TypeError("a table is expected")
     return tuple(sorted(str(name) for name in value))
@@ -86,12 +89,12 @@
 
 
 def to_number(value: Any) -> float:  # noqa: ANN401 - any value of a file
-    """Return a number, of whatever size; raises TypeError where it is none."""
+    """Return a number of any size; raises TypeError."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise TypeError("a number is expected")
     return float(value)
 
 
 def to_seconds(value: Any) -> float:  # noqa: ANN401 - any value of a file
-    """Return seconds, above 0, for a number of milliseconds; raises TypeError or ValueError."""
+    """Convert a positive number of milliseconds to seconds; raises TypeError or ValueError."""
     return to_positive(value) / MILLISECONDS
--- a/src/beamloom/settings/mechanisms.py
+++ b/src/beamloom/settings/mechanisms.py
@@ -1,56 +1,56 @@
-"""The mechanisms by which a token node decides, each of which can be switched off.
+"""The mechanisms of a token node, each of which can be switched off.
 
-All are on. They are switched off one at a time to measure what each is worth
-(`tools/ablation.py`, docs/DECIDING.md), never to serve.
+All are on in operation. They are switched off one at a time to measure the effect of each
+(`tools/ablation.py`, docs/DECIDING.md).
 """
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 MECHANISMS_VARIABLE = "BEAMLOOM_MECHANISMS_OFF"
-"""Names of mechanisms, with commas between them."""
+"""Names the mechanisms that are off, separated by commas."""
 
 
 class UnknownMechanismError(ValueError):
-    """A name is not that of a mechanism."""
+    """No mechanism has the given name."""
 
 
 class Mechanisms(NamedTuple):
-    """What is on; a line each says what a node does without it.
+    """Which mechanisms are on. Each line says what happens if one is off.
 
-    own_zone: backends of other zones cost the same.
-    observed_load: the flows that a node sees do not count, only slots.
-    answer_pace: a backend whose answers have become slow counts as usual.
-    suspicion: backends that do not answer get flows like others.
-    error_answers: nodes do not tell each other of backends that answer with errors.
-    overdue_answers: backends that are late with answers, by the objective, are not told of.
-    longer_relapses: backends that fail again and again are tried again each time as soon.
-    risk_aversion: flows whose requests may not run twice are placed as all others.
-    priority_reserve: backends keep no room for requests of the highest priority.
-    timely_refusals: a client waits for cold backends though its time-out is over before its copy.
-    told_silence: nodes do not tell each other of silent backends.
-    other_backend_for_copies: copies of an opening go where the opening went.
-    other_zone_for_copies: copies of an opening go to any zone, the silent one's too.
-    liveness_checks: backends that seem dead are not checked, and their flows not ended.
-    gone_grace: backends that have gone from the store get nothing, though no other is left.
-    confirmed_refusals: what is not known is refused, though the view is not confirmed.
-    few_readers: each node reads the store for itself.
-    shared_kinds: each reader reads all kinds of object.
-    gathering: a reader asks again at once after each change.
-    stale_start: a node that starts reads the newest configuration from the store.
-    evacuations_from_peers: a node that starts lists evacuations itself.
-    early_confirmation: changes that a peer tells come without their confirmation.
-    key_from_peers: a node that starts gets the key from the store only.
-    configuration_differences: nodes tell configurations whole.
+    own_zone: backends in other zones have no higher cost.
+    observed_load: the cost of a backend ignores the flows and requests that the node observes.
+    answer_pace: the cost of a backend ignores that its answers have become slow.
+    suspicion: suspected and failing backends get flows like others.
+    error_answers: answers that may be errors have no effect on a backend.
+    overdue_answers: answers that are late by the route's objective have no effect on a backend.
+    longer_relapses: a backend that fails again and again is excluded no longer each time.
+    risk_aversion: flows whose requests must not run twice are placed like others.
+    priority_reserve: backends reserve no slots for requests of the highest priority.
+    timely_refusals: a client waits for cold backends even if its timeout ends before its next copy.
+    told_silence: nodes do not exchange reports of silent backends.
+    other_backend_for_copies: copies of an opening packet go to the same backend again.
+    other_zone_for_copies: copies of an opening packet do not prefer zones that were not tried.
+    liveness_checks: backends that may be dead are not checked, and their flows are not ended.
+    gone_grace: backends that were removed from the store get no flows, even if no other is left.
+    confirmed_refusals: flows are refused although the views are not confirmed.
+    few_readers: every node reads the store.
+    shared_kinds: every reader reads all kinds of object.
+    gathering: a reader calls the store again without a pause after each change.
+    stale_start: a starting node requests the newest configuration from the store.
+    evacuations_from_peers: a starting node lists evacuations without waiting for its peers.
+    early_confirmation: a confirmation of a revision that is merged only later has no effect.
+    key_from_peers: a starting node gets the key from the store only.
+    configuration_differences: nodes send each other whole configurations.
     flow_bound_tokens: a token is the same for all flows of a backend.
-    waiting_packets: packets that come before a node is ready are dropped.
-    forwarding_after_stop: a node that is asked to stop ends at once.
-    stop_turns: nodes of a zone stop without regard to each other.
-    discard_after_stall: opening packets that waited while a process stood still are sent on.
-    capacity_roles: peers tell news, answer each other and open flows at cold backends whatever
-        their machines can do, and a node near its own limits keeps its roles.
-    spread_ticks: nodes that start together ask the store in the same moments.
-    silence_probes: only its deadlines tell a node that a connection to the store is silent.
+    waiting_packets: packets that arrive before a node is ready are dropped at once.
+    forwarding_after_stop: a node ends as soon as it may stop, without further forwarding.
+    stop_turns: nodes of a zone do not wait for each other to stop.
+    discard_after_stall: opening packets that waited during a stall of the process are forwarded.
+    capacity_roles: announcements and answers between peers, and flows at cold backends, do not
+        depend on capacity, and a node near its own limits keeps its roles.
+    spread_ticks: nodes that start together call the store at the same moments.
+    silence_probes: a silent connection to the store is detected only by the timeouts of calls.
     """
 
     own_zone: bool = True
@@ -91,7 +91,7 @@
 
 
 def mechanisms_without(names: str) -> Mechanisms:
-    """Return all mechanisms but these; raises UnknownMechanismError."""
+    """Return all mechanisms but the named ones; raises UnknownMechanismError."""
     off = [name.strip() for name in names.split(",") if name.strip()]
     unknown = [name for name in off if name not in Mechanisms._fields]
     if unknown:
@@ -103,5 +103,5 @@
 
 
 def read_mechanisms(environment: Mapping[str, str]) -> Mechanisms:
-    """Return the mechanisms that a process's variables leave on; raises UnknownMechanismError."""
+    """Return the mechanisms by a process's environment; raises UnknownMechanismError."""
     return mechanisms_without(environment.get(MECHANISMS_VARIABLE, ""))
--- a/src/beamloom/settings/token_node.py
+++ b/src/beamloom/settings/token_node.py
@@ -1,11 +1,11 @@
-"""What a token node must know before it starts."""
+"""The settings of a token node."""
 
 from typing import NamedTuple
 
 from beamloom.settings.capacity import LEAST, Capacity
 
 DEFAULT_HEARTBEAT_SECONDS = 1.2
-"""As on the deployments known so far, where the settings do not tell it."""
+"""The default interval at which backends write to the store."""
 
 
 class Endpoint(NamedTuple):
@@ -16,20 +16,20 @@
 
     @property
     def text(self) -> str:
-        """The form that settings files have."""
+        """The address in the format of settings files."""
         return f"{self.host}:{self.port}"
 
     @property
     def pair(self) -> tuple[str, int]:
-        """The form that sockets take."""
+        """The address in the format of sockets."""
         return (self.host, self.port)
 
 
 class ColdStartLimits(NamedTuple):
-    """What all nodes together may send a cold backend in any second.
+    """Limit on the requests that all nodes together send to a cold backend in any second.
 
-    That is `rate * excess_factor + slack_requests`; the configuration tells each service's rate, in
-    requests a second.
+    The limit is `rate * excess_factor + slack_requests`; the configuration gives the rate of each
+    service, in requests per second.
     """
 
     excess_factor: float
@@ -37,18 +37,22 @@
 
 
 class TokenNodeSettings(NamedTuple):
-    """Addresses and bounds of one node; bounds are in seconds.
-
-    A configuration must be in force within `apply_seconds`, a leaving backend be rid of new flows
-    within `drain_seconds`; both hold for nodes that have had `contact_seconds` of undisturbed
-    contact. `metrics` is where figures are told, if anywhere. A flow may be forgotten after
-    `flow_seconds`. After SIGTERM a node has `stop_seconds`. `capacity` is what the
-    machine can do, `unusable_limits` names the parts of it that the settings do not tell or tell
-    absurdly. A zone that is evacuated gets no new flows after
-    `evacuate_seconds`; None where operators cannot ask for that. `zones` are those of the
-    deployment, as far as told. `cold_starts` limits what backends get while they are cold; None
-    where the deployment does not. Backends write to the store each `heartbeat_seconds`.
-    `first_start` tells that the whole fleet starts for the first time, or that nothing says so.
+    """Addresses and limits of one node.
+
+    - `metrics`: where metrics are served; None if they are not.
+    - `stop_seconds`: the time from SIGTERM until the node must have ended.
+    - `flow_seconds`: the age after which a flow may be forgotten; the node does not use it.
+    - `apply_seconds`: the time within which a new configuration must be in force.
+    - `drain_seconds`: the time after which a leaving backend must get no new flows. This and
+      `apply_seconds` hold for nodes in contact with the store for `contact_seconds`.
+    - `unusable_limits`: fields of `capacity` that the settings file lacks or has implausible
+      values for.
+    - `evacuate_seconds`: the time after which an evacuated zone must get no new flows; None if the
+      deployment has no evacuations.
+    - `zones`: the zones of the deployment; empty if the file does not name them.
+    - `cold_starts`: limits for cold backends; None if the deployment has none.
+    - `heartbeat_seconds`: the interval at which backends write to the store.
+    - `first_start`: whether the whole fleet starts for the first time; true by default.
     """
 
     node: str
@@ -94,7 +98,7 @@
         "unusable_limits",
     }
 )
-"""Addresses are bound, and names used, once; a change of these waits for the next start."""
+"""Fields that are used only at a start; a change of them takes effect at the next one."""
 
 
 def changed_fields(before: TokenNodeSettings, after: TokenNodeSettings) -> list[str]:
