--- a/src/beamloom/settings/declarations.py
+++ b/src/beamloom/settings/declarations.py
@@ -1,4 +1,4 @@
-"""The one declaration of each setting of the tree, from which checks and documentation come."""
+"""Declarations of all settings, from which their checks and documentation are derived."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 SettingValue = bool | int | float | str
-"""A value of a setting; choices are held as their text."""
+"""The value of a setting; a choice is held as its text."""
 
 LIMIT_PREFIX = "limit."
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingDeclaration:
-    """Everything that is known of one setting; bounds are inclusive."""
+    """The name, type, default, bounds (inclusive) and levels of a setting."""
 
     name: str
     value_type: SettingType
@@ -81,7 +81,7 @@
         return f"{self.minimum:g} to {self.maximum:g}"
 
     def require_level(self, level: SettingLevel) -> None:
-        """Raise WrongLevelError where the setting has no meaning at a level."""
+        """Raise WrongLevelError if the setting does not exist at a level."""
         if level not in self.levels:
             allowed = " or ".join(allowed.value for allowed in self.levels)
             raise WrongLevelError(
@@ -89,7 +89,7 @@
             )
 
     def check(self, value: object) -> SettingValue:
-        """Return the value in the setting's own type.
+        """Return the value, converted to the type of the setting.
 
         Raises WrongTypeError or OutOfBoundsError.
         """
@@ -100,7 +100,7 @@
         return self._check_number(value)
 
     def parse(self, text: str) -> SettingValue:
-        """Read a value as an operator types it; raises WrongTypeError or OutOfBoundsError."""
+        """Parse a value that an operator typed; raises WrongTypeError or OutOfBoundsError."""
         try:
             return self.check(self._convert(text))
         except ValueError:
@@ -138,7 +138,7 @@
 
     def _wrong_type(self, value: object) -> WrongTypeError:
         unit = f" in {self.unit}" if self.unit else ""
-        reason = f"{self.name} is of type {self.value_type.value}{unit}, and {value!r} is not"
+        reason = f"{self.name} must be of type {self.value_type.value}{unit}, not {value!r}"
         return WrongTypeError(reason, f"give {self.bounds_text}, for example {self.default}")
 
     def _out_of_bounds(self, value: object) -> OutOfBoundsError:
@@ -159,8 +159,8 @@
         SettingType.CHOICE,
         "",
         _POLICY.placement_prefer.value,
-        "Which measure weighs more when a new flow is placed: keeping flows where they were "
-        "(stickiness) or evening out open flows (balance).",
+        "Whether the placement of new flows favours keeping flows where they were (stickiness) "
+        "or an even spread of open flows (balance).",
         choices=tuple(choice.value for choice in PlacementPreference),
     ),
     SettingDeclaration(
@@ -168,8 +168,8 @@
         SettingType.FLOAT,
         "share",
         _POLICY.placement_imbalance_bound,
-        "How far above its share of open flows a backend may be before new flows go to their "
-        "second candidate.",
+        "Fraction by which a backend may exceed its share of open flows before new flows go to "
+        "their second candidate; ignored if `placement.prefer` is balance.",
         minimum=0.01,
         maximum=2.0,
     ),
@@ -178,7 +178,7 @@
         SettingType.FLOAT,
         "seconds",
         _POLICY.flow_idle_timeout,
-        "A flow without a packet for this long is forgotten.",
+        "A flow without a packet for this long is removed.",
         minimum=1.0,
         maximum=_DAY,
     ),
@@ -187,7 +187,8 @@
         SettingType.FLOAT,
         "seconds",
         _POLICY.flow_maximum_age,
-        "No flow is older than this; earlier generations are kept in mind for as long.",
+        "Upper estimate of the age of a flow; flows are not ended at this age. A node that takes "
+        "over flows assumes that it knows all of them after this time at the latest.",
         minimum=60.0,
         maximum=7 * _DAY,
     ),
@@ -196,7 +197,7 @@
         SettingType.CHOICE,
         "",
         _POLICY.request_repeat.value,
-        "Whether a request may be offered to a second backend before its payload was sent.",
+        "Whether a request may be offered to a second backend if its payload was not sent yet.",
         choices=tuple(choice.value for choice in RepeatPolicy),
     ),
     SettingDeclaration(
@@ -205,7 +206,8 @@
         "seconds",
         _POLICY.request_deadline,
         "A TCP flow still open after this time is reset at client and backend; 0 means never. "
-        "Its home then sees each of its packets. UDP has nothing to reset and is not cut.",
+        "With a deadline, other nodes relay all packets of a flow to its home node. UDP flows "
+        "have no reset and are not ended.",
         minimum=0.0,
         maximum=_DAY,
     ),
@@ -214,7 +216,7 @@
         SettingType.FLOAT,
         "share",
         _POLICY.retry_budget_ratio,
-        "Second offers of refused flows, as a share of new flows.",
+        "Limit on offers of refused flows to a second backend, as a share of new flows.",
         minimum=0.0,
         maximum=1.0,
     ),
