--- a/src/beamloom/settings/deployment.py
+++ b/src/beamloom/settings/deployment.py
@@ -1,4 +1,4 @@
-"""Deployment files: what to create in the platform's store, and the zones it runs in."""
+"""Deployment files: the objects to create in the platform's store, and the zones."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 def load_deployment(path: Path) -> Deployment:
     """Read and check a deployment file.
 
-    Raises an ExceptionGroup of SettingsFileErrors, all at once.
+    Raises an ExceptionGroup that holds a SettingsFileError for each fault.
     """
     try:
         source = load_toml(path)
@@ -87,7 +87,7 @@
 
 
 class _DeploymentChecker:
-    """Collects every fault that concerns more than one value."""
+    """Collects the faults that the models do not find: across values, and in settings."""
 
     def __init__(self, source: TomlSource, tables: DeploymentTables) -> None:
         self.faults: list[SettingsFileError] = []
@@ -169,12 +169,12 @@
 
 
 def _name_of(table: TenantTable | ServiceTable | BackendTable, path: KeyPath) -> str:
-    """Return a table's name; where that cannot be read, its place, which no other table has."""
+    """Return a table's name or, if that cannot be read, its path, which is unique."""
     return table.name or key_text(path)
 
 
 def _flatten(table: Mapping[str, Any]) -> Iterator[tuple[tuple[str, ...], Any]]:
-    """Yield each value of nested tables with the keys that lead to it."""
+    """Yield each value of nested tables with its path of keys."""
     for key, value in table.items():
         if isinstance(value, Mapping):
             for keys, nested in _flatten(value):
--- a/src/beamloom/settings/deployment_model.py
+++ b/src/beamloom/settings/deployment_model.py
@@ -24,7 +24,7 @@
 )
 
 SettingsTable = dict[str, Any]
-"""Values by dotted name; TOML's nested tables are flattened before they are checked."""
+"""Settings by name; nested tables are flattened to dotted names before they are checked."""
 
 Delay = Annotated[float, Field(ge=0, le=10)]
 
@@ -38,12 +38,12 @@
 
     @property
     def link(self) -> Link:
-        """The link in the terms of the domain model."""
+        """The link as an object of the domain model."""
         return Link(*self.zones, self.one_way_delay_seconds, self.loss_ratio)
 
 
 class ClientsTable(FileModel):
-    """`[clients]`: how far clients are from the fabric, one way."""
+    """`[clients]`: the delay between clients and the fabric."""
 
     one_way_delay_seconds: Delay = 0.001
 
@@ -72,7 +72,7 @@
 
     @property
     def virtual_address(self) -> VirtualAddress:
-        """The service's name on the network."""
+        """The service's virtual IP, protocol and port."""
         return VirtualAddress(self.ip, PROTOCOLS[self.protocol], self.port)
 
 
--- a/src/beamloom/settings/file_faults.py
+++ b/src/beamloom/settings/file_faults.py
@@ -1,4 +1,4 @@
-"""Faults of settings files: where they are, what is wrong and what to do about it."""
+"""Faults of settings files, with their place, cause and remedy."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     "_kilobytes",
     "_kb",
 )
-"""Endings of keys that name a unit, whether or not any key uses them."""
+"""Suffixes of keys that name a unit, including some that no key uses."""
 
 
 class SettingsFileError(SettingsError):
-    """One fault of a settings file; `line` counts from 1 and is 0 where no line is to blame."""
+    """One fault of a settings file; `line` counts from 1 and is 0 if the fault has no line."""
 
     def __init__(self, line: int, key: str, reason: str, remedy: str) -> None:
         super().__init__(reason, remedy)
@@ -33,14 +33,14 @@
         self.key = key
 
     def __str__(self) -> str:
-        """Return one line for people."""
+        """Return one line for operators."""
         place = f"line {self.line}: " if self.line else ""
         key = f"{self.key}: " if self.key else ""
         return f"{place}{key}{self.reason}: {self.remedy}"
 
 
 def unknown_key_remedy(key: str, known: Iterable[str]) -> str:
-    """Return the remedy for a key that does not exist, with the unit where only that is wrong."""
+    """Return the remedy for an unknown key; if only its unit is wrong, the right unit."""
     names = sorted(known)
     stem, suffix = split_unit(key)
     for name in names:
@@ -52,7 +52,7 @@
 
 
 def split_unit(key: str) -> tuple[str, str]:
-    """Return a key without its unit, and the unit's suffix or an empty text."""
+    """Return a key without the suffix of its unit, and the suffix or an empty string."""
     for suffix in sorted(UNIT_SUFFIXES, key=len, reverse=True):
         if key.endswith(suffix):
             return key.removesuffix(suffix), suffix
@@ -60,5 +60,5 @@
 
 
 def unit_words(suffix: str) -> str:
-    """Return a unit's suffix as words."""
+    """Return the suffix of a unit in words."""
     return suffix.strip("_").replace("_", " ")
--- a/src/beamloom/settings/file_models.py
+++ b/src/beamloom/settings/file_models.py
@@ -1,4 +1,4 @@
-"""Shared pieces of the pydantic models of settings files, and their errors as file faults."""
+"""Base class and types of the pydantic models of settings files; converts errors to faults."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
 
     @property
     def zone(self) -> Zone:
-        """The zone in the terms of the domain model."""
+        """The zone as an object of the domain model."""
         return Zone(self.name, self.region)
 
     def contains(self, host: str) -> bool:
@@ -109,8 +109,8 @@
 class FileReading(Generic[Model]):
     """A file's model and the faults of single values.
 
-    With faults, a field that cannot be read is None whatever its type says, so that the checks that
-    concern several values can still run and all faults be told at once.
+    If there are faults, an unreadable field is None regardless of its type, so that checks across
+    values can still run and all faults are reported at once.
     """
 
     tables: Model
@@ -118,7 +118,7 @@
 
 
 def read_tables(model: type[Model], source: TomlSource) -> FileReading[Model]:
-    """Return a file as a model, with the faults of single values."""
+    """Parse a file into a model, with the faults of single values."""
     try:
         return FileReading(model.model_validate(source.data), ())
     except ModelError as error:
@@ -127,7 +127,7 @@
 
 
 def _read_partially(model: type[Model], data: object) -> Model:
-    """Return a model with whatever of the data can be read."""
+    """Return a model with those values of the data that can be read."""
     given = data if isinstance(data, Mapping) else {}
     fields: dict[str, Any] = {
         name: _read_field(field, given.get(name)) for name, field in model.model_fields.items()
@@ -154,19 +154,19 @@
 
 
 def _root_errors(error: ModelError) -> list[Any]:
-    """Return the errors without those that an error further inside brought about.
+    """Return the errors without those that follow from errors in nested values.
 
-    An array whose items were refused counts as too short for pydantic.
+    pydantic reports an array as too short if it rejects items of the array.
     """
     errors = error.errors()
     return [
         details
         for details in errors
-        if details["type"] != "too_short" or not any(_inside(other, details) for other in errors)
+        if details["type"] != "too_short" or not any(_is_inside(other, details) for other in errors)
     ]
 
 
-def _inside(other: Any, details: Any) -> bool:  # noqa: ANN401
+def _is_inside(other: Any, details: Any) -> bool:  # noqa: ANN401
     depth = len(details["loc"])
     return len(other["loc"]) > depth and other["loc"][:depth] == details["loc"]
 
@@ -179,7 +179,7 @@
 
 
 def zone_faults(source: TomlSource, zones: Sequence[ZoneTable]) -> Iterator[SettingsFileError]:
-    """Yield faults of the zones among themselves: names given twice, networks that overlap."""
+    """Yield faults between zones: duplicate names and overlapping networks."""
     seen: dict[str, ZoneTable] = {}
     for index, zone in enumerate(zones):
         path: KeyPath = ("zones", index)
@@ -195,7 +195,7 @@
 
 
 def zones_by_name(zones: Sequence[ZoneTable]) -> dict[str, ZoneTable]:
-    """Return the zones by name; of two with one name, which is a fault, the first."""
+    """Return the zones by name; of zones with the same name, which is a fault, the first."""
     return {zone.name: zone for zone in reversed(zones) if zone.name is not None}
 
 
@@ -249,7 +249,7 @@
 
 
 def _remedy(key: str, details: Any) -> str:  # noqa: ANN401
-    """Return what to give instead of a value, with its unit where the key names one."""
+    """Return what to give instead of a value, with its unit if the key names one."""
     kind = details["type"]
     if kind == "value_error":
         return str(details["ctx"]["error"])
--- a/src/beamloom/settings/node_file.py
+++ b/src/beamloom/settings/node_file.py
@@ -1,4 +1,4 @@
-"""The settings file of one balancer node: who it is, where it listens, whom it talks to."""
+"""The settings file of a balancer node: its identity, addresses, peers and object API."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class NodeTable(FileModel):
-    """`[node]`: the machine itself; data, peer and control are UDP, admin is TCP."""
+    """`[node]`: the node itself; data, peer and control addresses are UDP, admin is TCP."""
 
     id: Name
     region: Name
@@ -60,8 +60,8 @@
 class FleetTable(FileModel):
     """`[fleet]`: the other nodes; the first key signs, both are accepted.
 
-    `hash_key_file` holds the key of the flow hash, the same on every node: it is never rotated
-    while flows live, since another key would place them anew.
+    `hash_key_file` holds the key of the flow hash, which is the same on every node. It must not
+    change while flows are open, as another key would place them differently.
     """
 
     key_files: Annotated[tuple[str, ...], Field(strict=False, min_length=1, max_length=2)]
@@ -79,7 +79,7 @@
 
 
 class AdminTable(FileModel):
-    """`[admin]`: the admin API; with both files it speaks TLS."""
+    """`[admin]`: the admin API; with certificate and key it uses TLS."""
 
     token_file: str | None = None
     certificate_file: str | None = None
@@ -87,7 +87,7 @@
 
 
 class LogTable(FileModel):
-    """`[log]`: the form of log lines."""
+    """`[log]`: the format of log lines."""
 
     format: Annotated[LogFormat, Field(strict=False)] = LogFormat.CONSOLE
 
@@ -105,7 +105,7 @@
 
     @property
     def machine(self) -> Machine:
-        """The node in the terms of the domain model."""
+        """The node as an object of the domain model."""
         zone = next(table.zone for table in self.zones if table.name == self.node.zone)
         return Machine(
             NodeId(self.node.id),
@@ -119,8 +119,8 @@
 def load_node_settings(path: Path, overrides: Mapping[str, Any] | None = None) -> NodeSettings:
     """Read and check a node's settings file.
 
-    `overrides` are flags of the command line by dotted key (`node.id`); they win over the file.
-    Raises an ExceptionGroup of SettingsFileErrors, all at once.
+    `overrides` are command-line flags by dotted key (`node.id`); they take precedence over the
+    file. Raises an ExceptionGroup that holds a SettingsFileError for each fault.
     """
     try:
         source = load_toml(path)
@@ -134,11 +134,11 @@
     reading = read_tables(NodeSettings, source)
     settings = reading.tables
     zones = zone_faults(source, settings.zones)
-    raise_faults([*reading.faults, *zones, *_node_faults(source, settings)])
+    raise_faults([*reading.faults, *zones, *_cross_field_faults(source, settings)])
     return settings
 
 
-def _node_faults(source: TomlSource, settings: NodeSettings) -> Iterator[SettingsFileError]:
+def _cross_field_faults(source: TomlSource, settings: NodeSettings) -> Iterator[SettingsFileError]:
     node = settings.node
     zones = zones_by_name(settings.zones)
     if node.zone is not None and node.zone not in zones:
--- a/src/beamloom/settings/toml_source.py
+++ b/src/beamloom/settings/toml_source.py
@@ -1,7 +1,7 @@
-"""A TOML file with the line of each key, so that faults can say where they are.
+"""A TOML file with the line of each key, for the messages of faults.
 
-`tomllib` alone decides what the file means. The line index is a scan of headers and `key =` lines;
-a key that the scan misses (inside an inline table) has the line of what surrounds it.
+`tomllib` parses the file. The lines come from a separate scan of headers and `key =` lines; a key
+that the scan does not find, as in an inline table, has the line of the enclosing key or table.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from beamloom.settings.file_faults import SettingsFileError
 
 KeyPath = tuple[str | int, ...]
-"""Where a value stands in a file: keys of tables and indexes of arrays."""
+"""The path of a value in a file: keys of tables and indexes of arrays."""
 
 MAXIMUM_FILE_BYTES = 16 * 1024 * 1024
 
@@ -36,7 +36,7 @@
     lines: Mapping[KeyPath, int]
 
     def line_of(self, path: KeyPath) -> int:
-        """Return the line of a key, or of the nearest thing around it; 0 when there is none."""
+        """Return the line of a key, or of its nearest ancestor with a line; 0 if there is none."""
         for length in range(len(path), 0, -1):
             line = self.lines.get(path[:length])
             if line is not None:
@@ -45,7 +45,7 @@
 
 
 def load_toml(path: Path) -> TomlSource:
-    """Read a file; raises SettingsFileError when it cannot be read or is not TOML."""
+    """Read a file; raises SettingsFileError if it cannot be read or is not TOML."""
     try:
         if path.stat().st_size > MAXIMUM_FILE_BYTES:
             raise SettingsFileError(0, "", f"{path} is too large", "give a settings file")
@@ -59,7 +59,7 @@
 
 
 def parse_toml(text: str) -> TomlSource:
-    """Read TOML; raises SettingsFileError when it is none."""
+    """Parse TOML; raises SettingsFileError if it is invalid."""
     try:
         data = tomllib.loads(text)
     except RecursionError:
@@ -67,7 +67,7 @@
     except tomllib.TOMLDecodeError as error:
         found = _SYNTAX_LINE.search(str(error))
         line = int(found.group(1)) if found else len(text.splitlines())
-        raise SettingsFileError(line, "", f"not TOML: {error}", "mend the syntax") from None
+        raise SettingsFileError(line, "", f"not TOML: {error}", "correct the syntax") from None
     return TomlSource(data, _index_lines(text))
 
 
@@ -93,7 +93,7 @@
 
 
 def _enter_table(keys: KeyPath, is_array: bool, counts: dict[KeyPath, int]) -> KeyPath:
-    """Return the path of a table whose header names `keys`: arrays stand at their last index."""
+    """Return the path of the table of a header; each array is followed by its last index."""
     path: KeyPath = ()
     for position, key in enumerate(keys):
         path += (key,)
--- a/tests/unit/settings/test_files.py
+++ b/tests/unit/settings/test_files.py
@@ -1,4 +1,4 @@
-"""Settings files: every fault at once, each with its line and a remedy."""
+"""All faults of a settings file are reported at once, each with its line and a remedy."""
 
 import importlib.resources
 import tempfile
@@ -43,7 +43,7 @@
         for words in expected:
             self.assertIn(words, str(faults[0]))
 
-    def test_example_is_good(self) -> None:
+    def test_example_has_no_faults(self) -> None:
         settings_read = check_node_settings(parse_toml(NODE))
         self.assertEqual(settings_read.machine.zone.region, "suva")
         self.assertEqual(str(settings_read.machine.peer_address), "127.10.1.1:7001")
@@ -99,7 +99,7 @@
             ],
         )
 
-    def test_unreadable_files_are_faults_too(self) -> None:
+    def test_unreadable_files_are_reported_as_faults(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.toml"
             for content in (None, b"a = \n", b"\xff\xfe", b"node = 3\n"):
@@ -110,7 +110,7 @@
                 for fault in caught.exception.exceptions:
                     self.assertIsInstance(fault, SettingsFileError)
 
-    def test_flags_win_over_the_file_and_are_checked(self) -> None:
+    def test_flags_take_precedence_over_the_file_and_are_checked(self) -> None:
         with importlib.resources.as_file(EXAMPLES / "node.toml") as path:
             self.assertEqual(load_node_settings(path, {"node.id": "other"}).node.id, "other")
             with self.assertRaises(ExceptionGroup):
