--- a/src/beamloom/settings/configuration.py
+++ b/src/beamloom/settings/configuration.py
@@ -1,9 +1,9 @@
-"""Compilation of stored objects into the contracts in force, one change at a time.
+"""Compiles stored objects into the contracts in force, one change at a time.
 
-What is compiled is a function of the objects that exist and of the generations that each service
-had, never of the way by which a node learnt them, so that every node has the same contracts. An
-object that cannot be used is left out and reported in `problems`; nothing raises out of `apply`.
-A backend whose object became unusable stays as it last was, since the generations hold it.
+The result depends only on the existing objects and on the generations of each service, not on how a
+node received them, so that every node has the same contracts. An unusable object is left out and
+reported in `problems`; `apply` does not raise for it. A backend whose object becomes unusable keeps
+its last usable version, which is taken from the last generation.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from beamloom.settings.configuration_changes import (
     ConfigurationDelta,
     ConfigurationProblem,
-    orphaned_backend,
-    refused_service,
+    inactive_service_problem,
+    orphaned_backend_problem,
 )
 from beamloom.settings.errors import (
     SettingsError,
@@ -35,14 +35,14 @@
     read_virtual_address,
 )
 from beamloom.settings.tree import EffectiveSetting, Scope, SettingsTree
-from beamloom.settings.validation import split_values
+from beamloom.settings.validation import partition_values
 
 __all__ = ["Configuration", "ConfigurationDelta", "ConfigurationProblem"]
 
 
 @dataclass(frozen=True, slots=True)
 class _Affected:
-    """Names of what a change may alter; `regenerated` services may need a new generation."""
+    """What a change may alter, by name; `regenerated` services may need a new generation."""
 
     services: Iterable[str] = ()
     tenants: Iterable[str] = ()
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class Configuration:
-    """Contracts in force; a service is named `T/S`, its key after `service/`."""
+    """Contracts in force; a service is named `T/S`, its key without the prefix `service/`."""
 
     revision: int = 0
     _tree: SettingsTree = field(default_factory=SettingsTree)
@@ -72,7 +72,7 @@
 
     @property
     def by_virtual_address(self) -> Mapping[VirtualAddress, ServiceContract]:
-        """The services in force by their virtual IP, protocol and port."""
+        """The services in force by virtual address."""
         return MappingProxyType(self._by_address)
 
     @property
@@ -87,14 +87,14 @@
 
     @property
     def histories(self) -> dict[str, tuple[Generation, ...]]:
-        """The generations of every service object, also of those not in force, for `load`."""
+        """The generations of every service object, in force or not, as `load` accepts them."""
         return {name: record.generations for name, record in self._records.items()}
 
     @property
     def problems(self) -> tuple[ConfigurationProblem, ...]:
-        """What is stored and not in force, in the order of the keys."""
+        """What is stored but not in force, in the order of the keys."""
         found = [problem for problems in self._problems.values() for problem in problems]
-        found.extend(self._refused_services())
+        found.extend(self._inactive_services())
         found.extend(self._orphaned_backends())
         return tuple(sorted(found, key=lambda problem: (problem.key, str(problem.error))))
 
@@ -118,7 +118,7 @@
         configuration = cls()
         known = {} if histories is None else histories
         for stored in sorted(objects, key=parents_first):
-            configuration._take(stored)
+            configuration._apply_object(stored)
             record = configuration._records.get(stored.key.removeprefix("service/"))
             if record is not None and record.stored is stored:
                 record.generations = tuple(known.get(stored.key.removeprefix("service/"), ()))
@@ -130,14 +130,14 @@
         return configuration
 
     def apply(self, change: StoredObject) -> ConfigurationDelta:
-        """Take one change in and return what it altered; changes come in the order of revisions.
+        """Apply a change and return what it altered; changes must come in the order of revisions.
 
-        A change older than one already applied is ignored, so that nothing goes back.
+        A change older than the last one applied is ignored.
         """
         if change.revision < self.revision:
             return ConfigurationDelta()
         self.revision = change.revision
-        affected = self._take(change)
+        affected = self._apply_object(change)
         for name in affected.regenerated:
             backends = self._backends.get(name, {}).values()
             self._records[name].update_generation(backends, change.revision)
@@ -146,15 +146,15 @@
     def apply_batch(
         self, changes: Iterable[StoredObject], histories: Mapping[str, Sequence[Generation]]
     ) -> ConfigurationDelta:
-        """Take several changes in at once, in order, and compile what they altered once.
+        """Apply several changes in order, and compile what they altered once.
 
-        `histories` holds the generations, by `T/S`, of each service that may have others than
-        before; they come from the replica, so that nodes which saw other batches have the same.
+        `histories` holds the generations, by `T/S`, of each service whose generations may have
+        changed; they come from the replica, so that nodes that saw other batches have the same.
         """
         services, tenants, regenerated = set[str](), set[str](), set(histories)
         for change in changes:
             self.revision = max(self.revision, change.revision)
-            affected = self._take(change)
+            affected = self._apply_object(change)
             services.update(affected.services)
             tenants.update(affected.tenants)
             regenerated.update(affected.regenerated)
@@ -164,44 +164,44 @@
         return self._refresh(_Affected(services | regenerated, tenants))
 
     def _adopt_generations(self, name: str, known: Sequence[Generation]) -> None:
-        """Give a service known generations; one without any has a single one."""
+        """Replace a service's generations; if none are known, a first one is created."""
         record = self._records[name]
         record.generations = tuple(known)
         if not known:
             backends = self._backends.get(name, {}).values()
             record.update_generation(backends, _oldest_possible_revision(record, backends))
 
-    def _take(self, change: StoredObject) -> _Affected:
-        """Enter one object, or its deletion, and return what must be compiled anew."""
+    def _apply_object(self, change: StoredObject) -> _Affected:
+        """Store one object, or its deletion, and return what must be compiled again."""
         self._problems.pop(change.key, None)
         try:
             key = ObjectKey.parse(change.key)
             if key.kind is ObjectKind.SETTINGS:
-                return self._take_settings(Scope.from_object_key(change.key), change)
+                return self._apply_settings(Scope.from_object_key(change.key), change)
         except SettingsError as error:
-            self._report(change, error)
+            self._record_problems(change, error)
             return _Affected()
         match key.kind:
             case ObjectKind.TENANT:
-                return self._take_tenant(key.names[0], change)
+                return self._apply_tenant(key.names[0], change)
             case ObjectKind.SERVICE:
-                return self._take_service("/".join(key.names), change)
+                return self._apply_service("/".join(key.names), change)
             case ObjectKind.BACKEND:
-                return self._take_backend("/".join(key.names[:2]), key.names[2], change)
+                return self._apply_backend("/".join(key.names[:2]), key.names[2], change)
         return _Affected()
 
-    def _take_tenant(self, tenant: str, change: StoredObject) -> _Affected:
+    def _apply_tenant(self, tenant: str, change: StoredObject) -> _Affected:
         if change.value is None:
             self._tenants_created.pop(tenant, None)
         else:
             self._tenants_created[tenant] = change.created_revision
         return _Affected(self._services_of.get(tenant, ()), (tenant,))
 
-    def _take_service(self, name: str, change: StoredObject) -> _Affected:
+    def _apply_service(self, name: str, change: StoredObject) -> _Affected:
         record = self._records.get(name)
         competitors: set[str] = set()
-        if record is not None and _is_replaced(record.stored, change):
-            competitors = self._forget_service(name, record)
+        if record is not None and _ends_object(record.stored, change):
+            competitors = self._remove_service(name, record)
             record = None
         if change.value is None:
             return _Affected({name, *competitors})
@@ -213,11 +213,11 @@
             record.address = read_virtual_address(change)
         except SettingsError as error:
             record.address = None
-            self._report(change, error)
+            self._record_problems(change, error)
         return _Affected({name, *competitors}, regenerated=(name,))
 
-    def _forget_service(self, name: str, record: ServiceRecord) -> set[str]:
-        """Forget a service object and return the services that may take over its address."""
+    def _remove_service(self, name: str, record: ServiceRecord) -> set[str]:
+        """Remove a service object; return the services that may take over its address."""
         del self._records[name]
         self._services_of[_tenant_of(name)].discard(name)
         siblings = self._backends.get(name, {})
@@ -226,7 +226,7 @@
                 del siblings[backend_id]
         return self._claims.move(name, record, None)
 
-    def _take_backend(self, name: str, backend_id: str, change: StoredObject) -> _Affected:
+    def _apply_backend(self, name: str, backend_id: str, change: StoredObject) -> _Affected:
         record = self._records.get(name)
         siblings = self._backends.setdefault(name, {})
         siblings.pop(backend_id, None)
@@ -234,36 +234,36 @@
             try:
                 siblings[backend_id] = read_backend(change)
             except SettingsError as error:
-                self._report(change, error)
+                self._record_problems(change, error)
                 number = change.created_revision
-                last = None if record is None else record.last_known(backend_id, number)
+                last = None if record is None else record.find_last_known(backend_id, number)
                 if last is not None:
                     siblings[backend_id] = last
         return _Affected() if record is None else _Affected((name,), regenerated=(name,))
 
-    def _take_settings(self, scope: Scope, change: StoredObject) -> _Affected:
+    def _apply_settings(self, scope: Scope, change: StoredObject) -> _Affected:
         if change.value is None:
             self._tree.remove(scope)
         else:
             try:
-                good, errors = split_values(scope.level, read_setting_values(change))
+                valid, errors = partition_values(scope.level, read_setting_values(change))
             except SettingsError as error:
-                good, errors = {}, (error,)
-            self._tree.replace(scope, good, change.revision)
-            self._report(change, *errors)
+                valid, errors = {}, (error,)
+            self._tree.replace(scope, valid, change.revision)
+            self._record_problems(change, *errors)
         if scope.tenant is None:
             return _Affected(self._records, self._tenants_created)
         if scope.service is not None:
             return _Affected((f"{scope.tenant}/{scope.service}",))
         return _Affected(self._services_of.get(scope.tenant, ()), (scope.tenant,))
 
-    def _report(self, change: StoredObject, *errors: SettingsError) -> None:
+    def _record_problems(self, change: StoredObject, *errors: SettingsError) -> None:
         if errors:
             found = (ConfigurationProblem(change.key, change.revision, error) for error in errors)
             self._problems[change.key] = tuple(found)
 
     def _refresh(self, affected: _Affected) -> ConfigurationDelta:
-        """Compile what is affected, and whoever gains or loses an address by it."""
+        """Compile what is affected, and each service that gains or loses an address by it."""
         names = set(affected.services)
         for name in affected.services:
             names |= self._refresh_claim(name)
@@ -279,14 +279,14 @@
         tenants = self._refresh_tenants(affected.tenants)
         return ConfigurationDelta(
             tuple(new for name, new in after.items() if new is not None and new != before[name]),
-            tuple(old for name, old in before.items() if old and _is_gone(old, after[name])),
+            tuple(old for name, old in before.items() if old and _is_removed(old, after[name])),
             *tenants,
         )
 
     def _refresh_tenants(
         self, tenants: Iterable[str]
     ) -> tuple[tuple[TenantContract, ...], tuple[TenantContract, ...]]:
-        """Compile tenants; return those changed and those removed."""
+        """Compile tenants; return the changed and the removed ones."""
         changed, removed = [], []
         for tenant in sorted(tenants):
             before = self._tenants.pop(tenant, None)
@@ -306,8 +306,8 @@
         tenant_created = self._tenants_created.get(_tenant_of(name))
         if record.address is None or tenant_created is None:
             return self._claims.move(name, record, None)
-        claimed = max(record.stored.revision, tenant_created)
-        return self._claims.move(name, record, record.address, claimed)
+        claim_revision = max(record.stored.revision, tenant_created)
+        return self._claims.move(name, record, record.address, claim_revision)
 
     def _compile(self, name: str) -> ServiceContract | None:
         record = self._records.get(name)
@@ -326,20 +326,20 @@
             generations=record.generations,
         )
 
-    def _refused_services(self) -> Iterator[ConfigurationProblem]:
+    def _inactive_services(self) -> Iterator[ConfigurationProblem]:
         for name, record in self._records.items():
             if record.address is not None and name not in self._contracts:
                 holder = None if record.claim is None else self._claims.holder(record.claim)
-                yield refused_service(name, record, holder)
+                yield inactive_service_problem(name, record, holder)
 
     def _orphaned_backends(self) -> Iterator[ConfigurationProblem]:
         for name in self._backends.keys() - self._records.keys():
             for backend in self._backends[name].values():
-                yield orphaned_backend(name, backend)
+                yield orphaned_backend_problem(name, backend)
 
 
 def _oldest_possible_revision(record: ServiceRecord, backends: Iterable[Backend]) -> int:
-    """Return a revision for a generation whose true one is not known; numbers are revisions."""
+    """Return a lower bound of a generation's unknown revision; object numbers are revisions."""
     numbers = (backend.backend_number for backend in backends)
     return max(record.stored.created_revision, *numbers, 0)
 
@@ -348,10 +348,10 @@
     return name.split("/", 1)[0]
 
 
-def _is_replaced(stored: StoredObject, change: StoredObject) -> bool:
+def _ends_object(stored: StoredObject, change: StoredObject) -> bool:
     return change.value is None or stored.created_revision != change.created_revision
 
 
-def _is_gone(old: ServiceContract, new: ServiceContract | None) -> bool:
-    """Whether a service left, or was created anew under another number."""
+def _is_removed(old: ServiceContract, new: ServiceContract | None) -> bool:
+    """Whether a service was removed, or created again under another number."""
     return new is None or new.service_number != old.service_number
--- a/src/beamloom/settings/configuration_changes.py
+++ b/src/beamloom/settings/configuration_changes.py
@@ -1,4 +1,4 @@
-"""What a change of the configuration altered, and what stays out of force."""
+"""What a change of the configuration altered, and which objects are not in force."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationDelta:
-    """What changes altered; removed contracts are given as they last were.
+    """Contracts that changes altered or removed; removed ones are given as they last were.
 
-    A service that was created anew is in both, with its old and its new number.
+    A service that was created again is both removed, under its old number, and changed.
     """
 
     services_changed: tuple[ServiceContract, ...] = ()
@@ -28,19 +28,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationProblem:
-    """A stored object, or a part of it, that is not in force: why, and what an operator can do."""
+    """A stored object, or a part of it, that is not in force; `error` has the cause and remedy."""
 
     key: str
     revision: int
     error: SettingsError
 
     def __str__(self) -> str:
-        """Return one line for people."""
+        """Return one line for operators."""
         return f"{self.key} at revision {self.revision}: {self.error}"
 
 
-def refused_service(name: str, record: ServiceRecord, holder: str | None) -> ConfigurationProblem:
-    """Return why a readable service is not in force: another holds its address, or no tenant."""
+def inactive_service_problem(
+    name: str, record: ServiceRecord, holder: str | None
+) -> ConfigurationProblem:
+    """Return why a readable service is not in force: it has no tenant, or its address is taken."""
     error: SettingsError = MissingParentError(
         f"service {name} has no tenant", f"create tenant {name.split('/', maxsplit=1)[0]}"
     )
@@ -52,7 +54,7 @@
     return ConfigurationProblem(record.stored.key, record.stored.revision, error)
 
 
-def orphaned_backend(service: str, backend: Backend) -> ConfigurationProblem:
+def orphaned_backend_problem(service: str, backend: Backend) -> ConfigurationProblem:
     """Return the problem of a readable backend whose service does not exist."""
     error = MissingParentError(
         f"backend {backend.backend_id} has no service", f"create service {service}"
--- a/src/beamloom/settings/errors.py
+++ b/src/beamloom/settings/errors.py
@@ -1,10 +1,10 @@
-"""Typed errors of the settings tree and of stored objects; each message names the remedy."""
+"""Errors of the settings tree and of stored objects; each message names the remedy."""
 
 from __future__ import annotations
 
 
 class SettingsError(Exception):
-    """Base of every error of this package: what is wrong (`reason`) and what to do (`remedy`)."""
+    """Base of the errors of settings: the cause (`reason`) and what to do (`remedy`)."""
 
     def __init__(self, reason: str, remedy: str) -> None:
         super().__init__(f"{reason}: {remedy}")
@@ -13,15 +13,15 @@
 
 
 class UnknownSettingError(SettingsError):
-    """No setting of this version has that name."""
+    """The name is not that of a setting of this version."""
 
 
 class WrongTypeError(SettingsError):
-    """The value is of another type than the setting's."""
+    """The value is not of the setting's type."""
 
 
 class OutOfBoundsError(SettingsError):
-    """The value lies outside the setting's bounds, or is none of its choices."""
+    """The value is outside the setting's bounds or not one of its choices."""
 
 
 class WrongLevelError(SettingsError):
@@ -29,20 +29,20 @@
 
 
 class InvalidScopeError(SettingsError):
-    """The text names no scope of the settings tree."""
+    """The text is not a scope of the settings tree."""
 
 
 class UnknownObjectKeyError(SettingsError):
-    """The key of a stored object is of a kind that this version does not know."""
+    """The key of a stored object is malformed or of a kind that this version does not know."""
 
 
 class MalformedObjectError(SettingsError):
-    """A stored object lacks a field, or a field cannot be read."""
+    """A stored object lacks a field, or its value or a field cannot be read."""
 
 
 class MissingParentError(SettingsError):
-    """A stored object stands under a tenant or service that does not exist."""
+    """The tenant or service of a stored object does not exist."""
 
 
 class DuplicateVirtualAddressError(SettingsError):
-    """An older service already holds the virtual IP, protocol and port."""
+    """A service with an earlier claim holds the virtual IP, protocol and port."""
--- a/src/beamloom/settings/policies.py
+++ b/src/beamloom/settings/policies.py
@@ -1,4 +1,4 @@
-"""Turns the values in force at a scope into the policy of a service or the limits of a tenant."""
+"""Converts the values in force at a scope to a service's policy or a tenant's limits."""
 
 from __future__ import annotations
 
--- a/src/beamloom/settings/service_records.py
+++ b/src/beamloom/settings/service_records.py
@@ -1,4 +1,4 @@
-"""Stored services, in force or not: their generations, and which of them holds which address."""
+"""Stored services, in force or not: their generations and their claims to addresses."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 class ServiceRecord:
     """A service object with its generations, oldest first.
 
-    `address` is None while the object cannot be read. `claim` is the address it competes for and
-    `claimed` the revision since which it does, see `AddressClaims`.
+    `address` is None while the object cannot be read. `claim` is the address that it claims, and
+    `claim_revision` the revision that the claim dates from (see `AddressClaims`).
     """
 
     stored: StoredObject
     address: VirtualAddress | None = None
     claim: VirtualAddress | None = None
-    claimed: int = 0
+    claim_revision: int = 0
     generations: tuple[Generation, ...] = ()
 
     def update_generation(self, unsorted: Iterable[Backend], revision: int) -> None:
-        """Add a generation where the backends differ from the last one's."""
+        """Add a generation if the backends differ from those of the last one."""
         backends = tuple(sorted(unsorted, key=lambda backend: backend.backend_number))
         if not self.generations or self.generations[-1].backends != backends:
             generations = (*self.generations, Generation(revision, backends))
             self.generations = generations[-GENERATIONS_KEPT:]
 
-    def last_known(self, backend_id: str, backend_number: int) -> Backend | None:
-        """Return a backend as the last generation has it, unless it was created anew since."""
+    def find_last_known(self, backend_id: str, backend_number: int) -> Backend | None:
+        """Return a backend from the last generation, unless it was created again since."""
         backends = self.generations[-1].backends if self.generations else ()
         for backend in backends:
             if (backend.backend_id, backend.backend_number) == (backend_id, backend_number):
@@ -44,35 +44,35 @@
 
 @dataclass(slots=True)
 class AddressClaims:
-    """Which services ask for which address; the one with the earliest claim holds it.
+    """The services that claim each address; the earliest claim holds it.
 
-    A claim dates from the last change of its service object, or from its tenant's creation where
-    that came later: so a service that moves, or comes back with its tenant, comes after whoever
-    has the address by then. Both stand in the stored objects, so every node agrees.
+    A claim dates from the last change of its service object or from the creation of its tenant,
+    whichever is later. A service that changes its address, or whose tenant is created again, thus
+    comes after the current holder. Both revisions are stored, so that all nodes agree.
     """
 
     _claims: dict[VirtualAddress, dict[str, ServiceRecord]] = field(default_factory=dict)
 
     def move(
-        self, name: str, record: ServiceRecord, wanted: VirtualAddress | None, claimed: int = 0
+        self, name: str, record: ServiceRecord, address: VirtualAddress | None, revision: int = 0
     ) -> set[str]:
-        """Let a service compete for an address; return the other services concerned."""
-        if (record.claim, record.claimed) == (wanted, claimed):
+        """Change the address that a service claims; return the other services affected."""
+        if (record.claim, record.claim_revision) == (address, revision):
             return set()
-        concerned: set[str] = set()
+        affected: set[str] = set()
         if record.claim is not None:
-            concerned.update(self._withdraw(name, record.claim))
-        record.claim, record.claimed = wanted, claimed
-        if wanted is not None:
-            competitors = self._claims.setdefault(wanted, {})
-            concerned.update(competitors)
+            affected.update(self._withdraw(name, record.claim))
+        record.claim, record.claim_revision = address, revision
+        if address is not None:
+            competitors = self._claims.setdefault(address, {})
+            affected.update(competitors)
             competitors[name] = record
-        return concerned
+        return affected
 
     def holder(self, address: VirtualAddress) -> str:
-        """Return the service that keeps an address which at least one claims."""
+        """Return the service that holds an address; at least one must claim it."""
         competitors = self._claims[address]
-        return min(competitors, key=lambda name: _seniority(competitors[name]))
+        return min(competitors, key=lambda name: _claim_order(competitors[name]))
 
     def _withdraw(self, name: str, address: VirtualAddress) -> list[str]:
         competitors = self._claims[address]
@@ -82,6 +82,6 @@
         return list(competitors)
 
 
-def _seniority(record: ServiceRecord) -> tuple[int, int]:
-    """Order claims; services that came back with one tenant are told apart by their change."""
-    return record.claimed, record.stored.revision
+def _claim_order(record: ServiceRecord) -> tuple[int, int]:
+    """Return the sort key of a claim; claims that date from one tenant go by service revision."""
+    return record.claim_revision, record.stored.revision
--- a/src/beamloom/settings/stored_objects.py
+++ b/src/beamloom/settings/stored_objects.py
@@ -1,4 +1,4 @@
-"""Reading of stored objects: their keys and values become typed objects or typed errors."""
+"""Parses the keys and values of stored objects into typed objects, or raises typed errors."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectKey:
-    """A key taken apart: its kind, and the names of tenant, service and backend as far as given."""
+    """A parsed key: its kind and the names after it, for example of tenant and service."""
 
     kind: ObjectKind
     names: tuple[str, ...]
 
     @classmethod
     def parse(cls, key: str) -> ObjectKey:
-        """Read a key; raises UnknownObjectKeyError."""
+        """Parse a key; raises UnknownObjectKeyError."""
         first, *names = key.split("/")
         try:
             kind = ObjectKind(first)
@@ -53,7 +53,7 @@
             raise UnknownObjectKeyError(reason, "upgrade the node or delete the object") from None
         count = _NAME_COUNTS.get(kind)
         if count is not None and (len(names) != count or not all(map(is_name, names))):
-            reason = f"{key!r} is no key of a {kind.value}"
+            reason = f"{key!r} is not a valid key of a {kind.value}"
             raise UnknownObjectKeyError(reason, f"give {count} names of letters, digits, -, _, .")
         return cls(kind, tuple(names))
 
@@ -67,14 +67,14 @@
 
 
 def parents_first(stored: StoredObject) -> tuple[int, str]:
-    """Sort objects so that each comes after those it stands under, settings first."""
+    """Return a sort key that puts parents before their children, and settings first."""
     kind = stored.key.split("/", 1)[0]
     rank = _LOAD_ORDER.index(kind) if kind in _LOAD_ORDER else len(_LOAD_ORDER)
     return rank, stored.key
 
 
 def read_virtual_address(stored: StoredObject) -> VirtualAddress:
-    """Read the value of a service object; raises MalformedObjectError."""
+    """Parse the value of a service object; raises MalformedObjectError."""
     value = _require_value(stored)
     ip = _read(stored, value, "ip", _parse_ip, "an IPv4 or IPv6 address")
     protocol = _read(stored, value, "protocol", PROTOCOLS.__getitem__, "tcp or udp")
@@ -83,7 +83,7 @@
 
 
 def read_backend(stored: StoredObject) -> Backend:
-    """Read the value of a backend object; raises MalformedObjectError."""
+    """Parse the value of a backend object; raises MalformedObjectError."""
     value = {"weight": DEFAULT_WEIGHT, "state": "active", **_require_value(stored)}
     return Backend(
         backend_id=ObjectKey.parse(stored.key).names[-1],
@@ -97,17 +97,19 @@
 
 
 def read_setting_values(stored: StoredObject) -> Mapping[str, Any]:
-    """Read the value of a settings object, values unchecked; raises MalformedObjectError."""
+    """Return the unchecked values of a settings object; raises MalformedObjectError."""
     value = _require_value(stored)
     values = value.get("values")
     if not isinstance(values, Mapping):
-        raise MalformedObjectError(f"{stored.key} has no table `values`", "write it anew")
+        raise MalformedObjectError(f"{stored.key} has no table `values`", "write the object again")
     return {str(name): setting for name, setting in values.items()}
 
 
 def _require_value(stored: StoredObject) -> Mapping[str, Any]:
     if not isinstance(stored.value, Mapping):
-        raise MalformedObjectError(f"the value of {stored.key} is no table", "write it anew")
+        raise MalformedObjectError(
+            f"the value of {stored.key} is not a table", "write the object again"
+        )
     return stored.value
 
 
@@ -129,7 +131,7 @@
 
 def _parse_ip(value: object) -> str:
     if not isinstance(value, str):
-        raise TypeError("an IP address is text")
+        raise TypeError("an IP address is a string")
     return str(ipaddress.ip_address(value))
 
 
@@ -143,7 +145,7 @@
 
 def _parse_socket_address(value: object) -> SocketAddress:
     if not isinstance(value, str):
-        raise TypeError("an address is text")
+        raise TypeError("an address is a string")
     address = SocketAddress.parse(value)
     _parse_port(address.port)
     return address
@@ -151,7 +153,7 @@
 
 def _parse_zone(value: object) -> str:
     if not isinstance(value, str) or not is_name(value):
-        raise ValueError("a zone has a name")
+        raise ValueError("a zone is given by its name")
     return value
 
 
@@ -159,5 +161,5 @@
     if isinstance(value, bool) or not isinstance(value, int):
         raise TypeError("a weight is a whole number")
     if not 0 <= value <= MAXIMUM_WEIGHT:
-        raise ValueError("a weight is bounded")
+        raise ValueError("a weight is out of range")
     return value
--- a/src/beamloom/settings/tree.py
+++ b/src/beamloom/settings/tree.py
@@ -1,4 +1,4 @@
-"""The tree of settings: scopes, overrides and inheritance from global over tenant to service."""
+"""The tree of settings: scopes, overrides, and inheritance from global to tenant to service."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from beamloom.settings.validation import find_declaration
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,62}")
-"""Names of tenants, services and backends."""
+"""Names of tenants, services, backends and zones."""
 
 SETTINGS_PREFIX = "settings/"
 DEFAULT_LEVEL = "default"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """One place of the tree: global (no names), a tenant, or a service of a tenant."""
+    """A place in the tree: global (no names), a tenant, or a service of a tenant."""
 
     tenant: str | None = None
     service: str | None = None
@@ -68,14 +68,14 @@
             scope = scope.parent
 
     def __str__(self) -> str:
-        """Return the form in which operators write the scope."""
+        """Return the scope as operators write it."""
         if self.service is not None:
             return f"tenant/{self.tenant}/service/{self.service}"
         return "global" if self.tenant is None else f"tenant/{self.tenant}"
 
     @classmethod
     def parse(cls, text: str) -> Scope:
-        """Read `global`, `tenant/T` or `tenant/T/service/S`; raises InvalidScopeError."""
+        """Parse `global`, `tenant/T` or `tenant/T/service/S`; raises InvalidScopeError."""
         match text.split("/"):
             case ["global"]:
                 return cls()
@@ -83,11 +83,11 @@
                 return cls(tenant)
             case ["tenant", tenant, "service", service] if is_name(tenant) and is_name(service):
                 return cls(tenant, service)
-        raise InvalidScopeError(f"{text!r} is no scope", _REMEDY)
+        raise InvalidScopeError(f"{text!r} is not a scope", _REMEDY)
 
     @classmethod
     def from_object_key(cls, key: str) -> Scope:
-        """Read the key of a stored settings object; raises InvalidScopeError."""
+        """Parse the key of a stored settings object; raises InvalidScopeError."""
         match key.split("/"):
             case ["settings", "global"]:
                 return cls()
@@ -95,7 +95,7 @@
                 return cls(tenant)
             case ["settings", "service", tenant, service] if is_name(tenant) and is_name(service):
                 return cls(tenant, service)
-        raise InvalidScopeError(f"{key!r} is no settings object", _REMEDY)
+        raise InvalidScopeError(f"{key!r} is not the key of a settings object", _REMEDY)
 
 
 GLOBAL_SCOPE = Scope()
@@ -103,10 +103,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveSetting:
-    """A value in force and where it comes from.
+    """A value in force and its origin.
 
     `level` is global, tenant, service or default. `scope_key` is the key of the stored object that
-    sets it, empty for a default; `since_revision` is that object's revision, 0 for a default.
+    sets the value, `since_revision` the object's revision; a default has an empty key and 0.
     """
 
     value: SettingValue
@@ -134,20 +134,20 @@
 
 @dataclass(slots=True)
 class SettingsTree:
-    """Overrides of every scope; values that no scope sets have their declared default."""
+    """Overrides of every scope; a setting that no scope overrides has its declared default."""
 
     _overrides: dict[Scope, ScopeOverrides] = field(default_factory=dict)
 
     def replace(self, scope: Scope, values: Mapping[str, SettingValue], revision: int) -> None:
-        """Set the whole of a scope's overrides; values must have been checked."""
+        """Replace all overrides of a scope; the values must have been checked."""
         self._overrides[scope] = ScopeOverrides(dict(values), revision)
 
     def remove(self, scope: Scope) -> None:
-        """Forget a scope's overrides; unknown scopes are ignored."""
+        """Remove a scope's overrides; unknown scopes are ignored."""
         self._overrides.pop(scope, None)
 
     def overrides(self, scope: Scope) -> Mapping[str, SettingValue]:
-        """Return the values that a scope itself sets."""
+        """Return the values that a scope sets itself."""
         found = self._overrides.get(scope)
         return {} if found is None else found.values
 
@@ -159,7 +159,7 @@
     def effective(self, scope: Scope, name: str) -> EffectiveSetting:
         """Return the value of a setting in force at a scope.
 
-        Raises UnknownSettingError, and WrongLevelError where the setting has no meaning there.
+        Raises UnknownSettingError, or WrongLevelError if the setting does not exist at that level.
         """
         declaration = find_declaration(name)
         declaration.require_level(scope.level)
@@ -172,7 +172,7 @@
         return EffectiveSetting(declaration.default, DEFAULT_LEVEL, "", 0)
 
     def effective_values(self, scope: Scope) -> dict[str, SettingValue]:
-        """Return every non-default value in force at a scope by name."""
+        """Return the values in force at a scope by name, without those that no scope sets."""
         values: dict[str, SettingValue] = {}
         for ancestor in reversed(list(scope.path())):
             values.update(self.overrides(ancestor))
@@ -197,5 +197,5 @@
 
 
 def is_name(text: str) -> bool:
-    """Whether the text can name a tenant, service or backend."""
+    """Whether a text is a valid name of a tenant, service, backend or zone."""
     return NAME_PATTERN.fullmatch(text) is not None
--- a/src/beamloom/settings/validation.py
+++ b/src/beamloom/settings/validation.py
@@ -16,7 +16,7 @@
 
 
 def find_declaration(name: str) -> SettingDeclaration:
-    """Return a setting's declaration; raises UnknownSettingError with the nearest name."""
+    """Return a setting's declaration; raises UnknownSettingError, which proposes a similar name."""
     declaration = DECLARATIONS.get(name)
     if declaration is not None:
         return declaration
@@ -26,7 +26,7 @@
 
 
 def check_setting(level: SettingLevel, name: str, value: object) -> SettingValue:
-    """Return the checked value of a setting that is set at a level.
+    """Check a value for a setting at a level and return it in the setting's type.
 
     Raises UnknownSettingError, WrongLevelError, WrongTypeError or OutOfBoundsError.
     """
@@ -35,15 +35,15 @@
     return declaration.check(value)
 
 
-def split_values(
+def partition_values(
     level: SettingLevel, values: Mapping[str, Any]
 ) -> tuple[dict[str, SettingValue], tuple[SettingsError, ...]]:
-    """Return the good values of one level and the errors of the others."""
-    good: dict[str, SettingValue] = {}
+    """Return the valid values of one level, and the errors of the others."""
+    valid: dict[str, SettingValue] = {}
     errors: list[SettingsError] = []
     for name, value in values.items():
         try:
-            good[name] = check_setting(level, name, value)
+            valid[name] = check_setting(level, name, value)
         except SettingsError as error:
             errors.append(error)
-    return good, tuple(errors)
+    return valid, tuple(errors)
--- a/tests/unit/settings/object_rules.py
+++ b/tests/unit/settings/object_rules.py
@@ -1,4 +1,4 @@
-"""Rules that write any objects to a store, for state machines over the configuration."""
+"""Rules that write arbitrary objects to a store, for state machines of the configuration."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
@@ -8,7 +8,7 @@
 
 
 class ObjectMachine(RuleBasedStateMachine):
-    """Writes tenants, services and backends, good and bad ones; a subclass says what that does."""
+    """Writes valid and invalid tenants, services and backends; a subclass implements `write`."""
 
     def write(self, key: str, value: object) -> None:
         raise NotImplementedError
--- a/tests/unit/settings/objects.py
+++ b/tests/unit/settings/objects.py
@@ -1,4 +1,4 @@
-"""Short ways to write stored objects in tests."""
+"""Builders of stored objects for tests."""
 
 from beamloom.protocol.events import StoredObject
 
--- a/tests/unit/settings/test_configuration.py
+++ b/tests/unit/settings/test_configuration.py
@@ -1,4 +1,4 @@
-"""Stored objects become contracts; whatever cannot be used is reported and harms nothing else."""
+"""Stored objects are compiled to contracts; unusable ones are reported without side effects."""
 
 import unittest
 from typing import Any
@@ -61,7 +61,7 @@
             self.assertEqual(found.by_virtual_address[contested].service_id, "b/young")
             self.assertIn("belongs to service b/young", str(found.problems[0]))
 
-    def test_service_that_comes_back_with_its_tenant_does_not_take_its_address_back(self) -> None:
+    def test_service_of_a_recreated_tenant_does_not_take_its_address_back(self) -> None:
         first = stored("tenant/a", {}, 1), service("a/s", 2), stored("tenant/b", {}, 3)
         deleted, second = stored("tenant/a", None, 4, created=1), service("b/s", 5)
         returned = stored("tenant/a", {}, 6)
@@ -71,14 +71,14 @@
         for found in (configuration, loaded, unseen):
             self.assertEqual(list(found.services), ["b/s"])
 
-    def test_service_without_tenant_waits_for_it(self) -> None:
+    def test_service_without_tenant_is_not_in_force_until_the_tenant_exists(self) -> None:
         configuration = applied(service("t/s", 1), backend("t/s/b", 2))
         self.assertEqual(error_types(configuration), [MissingParentError])
         delta = configuration.apply(stored("tenant/t", {}, 3))
         self.assertEqual(len(delta.services_changed), 1)
         self.assertEqual([made.revision for made in delta.services_changed[0].generations], [1, 2])
 
-    def test_malformed_backend_stays_as_it_last_was(self) -> None:
+    def test_malformed_backend_keeps_its_last_usable_version(self) -> None:
         good = (stored("tenant/t", {}, 1), service("t/s", 2), backend("t/s/b", 3))
         bad = backend("t/s/b", 4, address="nowhere", created=3)
         configuration = applied(*good, bad)
@@ -88,20 +88,22 @@
         recreated.apply(backend("t/s/b", 6, address="nowhere"))
         self.assertEqual(recreated.services["t/s"].backends, ())
 
-    def test_service_created_anew_unseen_loses_its_address_to_an_older_claim(self) -> None:
+    def test_service_recreated_without_a_seen_deletion_loses_its_address_to_an_older_claim(
+        self,
+    ) -> None:
         tenant = stored("tenant/t", {}, 1)
         configuration = applied(tenant, service("t/a", 2), service("t/b", 3))
         delta = configuration.apply(service("t/a", 6))
         self.assertEqual([new.service_id for new in delta.services_changed], ["t/b"])
         self.assertEqual([old.service_number for old in delta.services_removed], [2])
 
-    def test_service_created_anew_unseen_is_removed_and_added(self) -> None:
+    def test_service_recreated_without_a_seen_deletion_is_removed_and_added(self) -> None:
         configuration = applied(stored("tenant/t", {}, 1), service("t/a", 2))
         delta = configuration.apply(service("t/a", 6))
         self.assertEqual([old.service_number for old in delta.services_removed], [2])
         self.assertEqual([new.service_number for new in delta.services_changed], [6])
 
-    def test_unusable_objects_are_left_out_with_a_remedy(self) -> None:
+    def test_unusable_objects_are_reported_with_a_remedy(self) -> None:
         for change, expected in (
             (service("t/s", 2, ip="10.0.0"), MalformedObjectError),
             (service("t/s", 2, port=0), MalformedObjectError),
@@ -147,12 +149,12 @@
         self.assertEqual(len(generations), GENERATIONS_KEPT)
         self.assertEqual(generations[-1].revision, 39)
 
-    def test_same_backends_make_no_generation(self) -> None:
+    def test_unchanged_backends_create_no_generation(self) -> None:
         configuration = applied(stored("tenant/t", {}, 1), service("t/s", 2), backend("t/s/b", 3))
         delta = configuration.apply(backend("t/s/b", 4, created=3))
         self.assertEqual(delta, ConfigurationDelta())
 
-    def test_limits_reach_tenants_and_only_changed_ones_are_told(self) -> None:
+    def test_limits_reach_tenants_and_only_changed_ones_are_reported(self) -> None:
         configuration = applied(stored("tenant/t", {}, 1), stored("tenant/u", {}, 2))
         delta = configuration.apply(values("tenant/t", 3, limit__open_flows=10))
         self.assertEqual([changed.tenant for changed in delta.tenants_changed], ["t"])
@@ -164,7 +166,7 @@
 
 
 class ConfigurationMachine(ObjectMachine):
-    """Applies any changes; a snapshot with the histories must give the very same contracts."""
+    """Applies arbitrary changes; loading a snapshot with histories must give the same contracts."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -191,7 +193,7 @@
         self.assert_holders_stay(key, in_force)
 
     def assert_holders_stay(self, key: str, before: dict[VirtualAddress, ServiceContract]) -> None:
-        """Nobody loses an address by what is written to another service or another tenant."""
+        """A write to another service or tenant must not take an address from a service."""
         for address, contract in before.items():
             own = f"service/{contract.service_id}", f"tenant/{contract.tenant}"
             if key not in own:
@@ -219,7 +221,7 @@
         )
 
     @invariant()
-    def deltas_tell_everything(self) -> None:
+    def deltas_report_every_change(self) -> None:
         self.assert_equal(self.deltas, self.configuration.services)
 
     def assert_equal(self, one: object, other: object) -> None:
--- a/tests/unit/settings/test_declarations.py
+++ b/tests/unit/settings/test_declarations.py
@@ -1,4 +1,4 @@
-"""Each setting refuses what it cannot be, and the reference page is current."""
+"""Settings reject values of a wrong type or range, and the reference page is current."""
 
 import dataclasses
 import unittest
@@ -19,7 +19,7 @@
 from beamloom.settings.policies import service_policy, tenant_limits
 from beamloom.settings.reference import render_reference
 from beamloom.settings.tree import Scope, SettingsTree
-from beamloom.settings.validation import check_setting, split_values
+from beamloom.settings.validation import check_setting, partition_values
 
 PAGE = Path(__file__).resolve().parents[3] / "docs" / "SETTINGS.md"
 SERVICE = SettingLevel.SERVICE
@@ -44,23 +44,25 @@
                 check_setting(level, name, value)
             self.assertIn(remedy, str(caught.exception))
 
-    def test_several_faults_are_told_at_once_and_keep_no_good_value_out(self) -> None:
+    def test_faults_are_all_reported_and_do_not_affect_valid_values(self) -> None:
         values = {"x": 1, "flow.idle_timeout": 0, "request.repeat": "never"}
-        good, errors = split_values(SERVICE, values)
-        self.assertEqual(good, {"request.repeat": "never"})
+        valid, errors = partition_values(SERVICE, values)
+        self.assertEqual(valid, {"request.repeat": "never"})
         self.assertEqual([type(error) for error in errors], [UnknownSettingError, OutOfBoundsError])
 
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(st.sampled_from(sorted(DECLARATIONS)), ANY_VALUE)
-    def test_any_value_is_taken_or_refused_by_type(self, name: str, value: object) -> None:
+    def test_any_value_is_accepted_or_rejected_with_a_remedy(
+        self, name: str, value: object
+    ) -> None:
         declaration = DECLARATIONS[name]
         try:
-            taken = declaration.check(value)
+            accepted = declaration.check(value)
         except SettingsError as error:
             self.assertTrue(error.remedy)
         else:
-            self.assertIs(type(taken), type(declaration.default))
-            self.assertEqual(declaration.parse(str(taken)), taken)
+            self.assertIs(type(accepted), type(declaration.default))
+            self.assertEqual(declaration.parse(str(accepted)), accepted)
 
     def test_defaults_and_names_fit_the_contracts(self) -> None:
         tree = SettingsTree()
--- a/tests/unit/settings/test_tree.py
+++ b/tests/unit/settings/test_tree.py
@@ -1,4 +1,4 @@
-"""The tree inherits as a plain dict of dicts does, whatever the order of the changes."""
+"""Inheritance in the tree matches a model of plain dicts, for any order of changes."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class TreeMachine(RuleBasedStateMachine):
-    """Compares every effective value with the first one found on the way up a dict of dicts."""
+    """Compares each effective value with the first one found from the scope upwards in a dict."""
 
     def __init__(self) -> None:
         super().__init__()
