--- a/src/beamloom/platform/errors.py
+++ b/src/beamloom/platform/errors.py
@@ -12,5 +12,5 @@
 
     def __init__(self, path: str, reason: str) -> None:
         super().__init__(
-            f"settings file {path}: {reason}; correct the file, the former settings stay in force"
+            f"settings file {path}: {reason}; correct the file; a running node keeps its settings"
         )
--- a/src/beamloom/settings/__init__.py
+++ b/src/beamloom/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The node settings file and the tree of settings: global, tenant, service."""
+"""Settings files, the tree of settings, and the compilation of stored objects to contracts."""
--- a/src/beamloom/settings/field_reader.py
+++ b/src/beamloom/settings/field_reader.py
@@ -29,7 +29,7 @@
     ) -> Value | Fallback:
         """Return a field, or the fallback if it is missing or unusable, which is a fault.
 
-        A missing field that is not `required` is no fault.
+        If the field is not `required`, it may be missing without a fault.
         """
         value: Any = self._document
         for part in name.split("."):
--- a/src/beamloom/settings/token_node.py
+++ b/src/beamloom/settings/token_node.py
@@ -98,7 +98,7 @@
         "unusable_limits",
     }
 )
-"""Fields that are used only at a start; a change of them takes effect at the next one."""
+"""Fields of which a change takes effect at the next start only."""
 
 
 def changed_fields(before: TokenNodeSettings, after: TokenNodeSettings) -> list[str]:
--- a/src/beamloom/telemetry/event_log.py
+++ b/src/beamloom/telemetry/event_log.py
@@ -124,7 +124,7 @@
 
 
 def standard_output() -> Write:
-    """Return a non-blocking writer to standard output; it discards all data if that fails."""
+    """Return a non-blocking writer to standard output; if there is none, it discards all data."""
     descriptor = 1
     try:
         os.set_blocking(descriptor, False)
