--- a/src/beamloom/replication/backend_status/views.py
+++ b/src/beamloom/replication/backend_status/views.py
@@ -14,9 +14,9 @@
 REASON_TEXTS = {
     StatusReason.NONE: "no watcher has reported a problem",
     StatusReason.CHECKS_PASSED: "health checks pass",
-    StatusReason.CHECKS_FAILED: "health checks of all watchers fail",
+    StatusReason.CHECKS_FAILED: "health checks fail at all watchers",
     StatusReason.CHECKS_FAILED_OTHER_WATCHER_SILENT: (
-        "health checks of one watcher fail, the other does not answer"
+        "health checks fail at one watcher, the other does not answer"
     ),
     StatusReason.SHEDDING_REPORTED: "the backend reports that it is shedding load or draining",
     StatusReason.LOAD_REPORTED: "the weight follows the backend's load report",
