--- a/src/beamloom/node/belief_observer.py
+++ b/src/beamloom/node/belief_observer.py
@@ -60,7 +60,7 @@
         """Record that a backend that was found dead is reachable again."""
 
     @abstractmethod
-    def reader_duty(self, reading: bool) -> None:
+    def reader_changed(self, reading: bool) -> None:
         """Record that this node became a reader of the store, or ceased to be one."""
 
     @abstractmethod
--- a/src/beamloom/node/evacuation_follower.py
+++ b/src/beamloom/node/evacuation_follower.py
@@ -1,7 +1,7 @@
 """Tracks which zones operators evacuate, from the store and from peers.
 
 An evacuation is a store object, and its removal ends the evacuation. It is read and exchanged like
-backends and the configuration, but polled less often: see `reading_times.py`.
+backends and the configuration, but polled less often: see `store_call_times.py`.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from typing import TYPE_CHECKING, Any
 
 from beamloom.node.record_orders import EvacuationOrder
-from beamloom.replication.kept_words import KeptWords
 from beamloom.replication.object_watch import ObjectWatch
-from beamloom.replication.reader_duty import ReaderDuty
-from beamloom.replication.reading_times import ReadingTimes
-from beamloom.replication.reading_turn import ReadingTurn
+from beamloom.replication.reader_role import ReaderRole
+from beamloom.replication.retention_timer import RetentionTimer
+from beamloom.replication.store_call_schedule import StoreCallSchedule
+from beamloom.replication.store_call_times import StoreCallTimes
 from beamloom.replication.store_view import ObjectChange, StoreView
 from beamloom.routing.tokens.records import ZoneEvacuation
 from beamloom.settings.mechanisms import ALL_MECHANISMS, Mechanisms
@@ -25,7 +25,7 @@
     from beamloom.replication.shared_view import SharedView
 
 KIND = 2
-"""Number of this kind of object, by which readers divide the kinds: see `ReaderDuty.reads`."""
+"""Number of this kind of object, by which readers divide the kinds: see `ReaderRole.reads`."""
 
 EvacuationChanges = tuple[ObjectChange[ZoneEvacuation], ...]
 
@@ -38,7 +38,7 @@
     which that changed (a later one if it was seen in a list). `on_change` is called for each change
     of a zone with whether it is evacuated now, and the revision. Evacuations outside `known_zones`
     are counted and ignored; if `known_zones` is empty, every zone is accepted. While the calls of
-    `leader`, the watch of another kind, fail, only readers call the store.
+    `depends_on`, the watch of another kind, fail, only readers call the store.
 
     With `is_seed` the first list is requested at once and must not be stale, as stale lists are not
     passed on to peers. Starting nodes ask the seeds first, and after a start of the whole fleet no
@@ -47,25 +47,25 @@
 
     def __init__(
         self,
-        duty: ReaderDuty,
+        role: ReaderRole,
         rng: random.Random,
-        times: ReadingTimes,
+        times: StoreCallTimes,
         known_zones: Collection[str] = (),
         *,
-        leader: ObjectWatch[Any] | None = None,
+        depends_on: ObjectWatch[Any] | None = None,
         is_seed: bool = False,
         mechanisms: Mechanisms = ALL_MECHANISMS,
     ) -> None:
         self.view: StoreView[ZoneEvacuation] = StoreView(EvacuationOrder())
         self.watch = ObjectWatch(self.view, rng, stale_start=not is_seed, may_be_empty=True)
-        self.turn = ReadingTurn(
+        self.schedule = StoreCallSchedule(
             self.watch,
-            duty,
+            role,
             rng,
             KIND,
             times=times,
-            begins_with_peers=mechanisms.evacuations_from_peers and not is_seed,
-            leader=leader,
+            lists_from_peers=mechanisms.evacuations_from_peers and not is_seed,
+            depends_on=depends_on,
         )
         self.since: dict[str, float] = {}
         self.counters: Counter[str] = Counter()
@@ -74,7 +74,7 @@
         )
         self.on_change: Callable[[str, bool, int], None] = lambda zone, evacuated, revision: None
         self.on_unknown_zone: Callable[[str], None] = lambda zone: None
-        self._kept_evacuations = KeptWords(self.view, self.apply)
+        self._retained_evacuations = RetentionTimer(self.view, self.apply)
         self._times = times
         self._known_zones = frozenset(known_zones)
         self._confirms_early = mechanisms.early_confirmation
@@ -96,7 +96,7 @@
 
     def advance(self, now: float) -> None:
         """Adopt a restored store's state once operators have had time to write again."""
-        self._kept_evacuations.advance(now)
+        self._retained_evacuations.advance(now)
 
     def apply(self, changes: EvacuationChanges, now: float) -> None:
         """Apply changes from the store or from peers."""
--- a/src/beamloom/node/record_orders.py
+++ b/src/beamloom/node/record_orders.py
@@ -25,39 +25,39 @@
 class BackendOrder(RecordOrder[BackendRecord]):
     """Orders a backend's entries by its start time and then by its sequence number.
 
-    An entry that a restored copy lacks is not kept: the backend may have ended, and a running one
+    An entry that a restored copy lacks is not kept: the backend may have removed, and a running one
     writes its entry again.
     """
 
-    keeps_missing = False
+    retains_missing = False
 
     def __init__(self, heartbeat_seconds: float = DEFAULT_HEARTBEAT_SECONDS) -> None:
-        self.settle_seconds = (
+        self.retention_seconds = (
             MAX_MISSED_HEARTBEATS * heartbeat_seconds + ERA_DETECTION_SPREAD_SECONDS
         )
 
-    def is_older(self, told: BackendRecord, known: BackendRecord) -> bool:
+    def is_older(self, incoming: BackendRecord, known: BackendRecord) -> bool:
         """Whether the known entry is newer: of a later start, or with a higher sequence number."""
-        return (told.born_at, told.sequence) < (known.born_at, known.sequence)
+        return (incoming.born_at, incoming.sequence) < (known.born_at, known.sequence)
 
-    def is_same(self, told: BackendRecord, known: BackendRecord) -> bool:
+    def is_same(self, incoming: BackendRecord, known: BackendRecord) -> bool:
         """Whether two entries are equal; sequence numbers count only where a warm-up is given."""
-        return told.tells_same(known)
+        return incoming.tells_same(known)
 
-    def is_new_life(self, told: BackendRecord, ended: BackendRecord) -> bool:
+    def is_recreated(self, incoming: BackendRecord, removed: BackendRecord) -> bool:
         """Whether an entry is of a later start of the backend than the one that had gone."""
-        return told.born_at > ended.born_at
+        return incoming.born_at > removed.born_at
 
 
 class ConfigurationOrder(RecordOrder[RoutingConfiguration]):
     """Orders configurations by version: an older one is never taken, the newest never dropped."""
 
-    settle_seconds = None
-    keeps_missing = True
+    retention_seconds = None
+    retains_missing = True
 
-    def is_older(self, told: RoutingConfiguration, known: RoutingConfiguration) -> bool:
+    def is_older(self, incoming: RoutingConfiguration, known: RoutingConfiguration) -> bool:
         """Whether the known version is higher."""
-        return told.version < known.version
+        return incoming.version < known.version
 
     def mark(self, record: RoutingConfiguration) -> int:
         """Return the version."""
@@ -67,9 +67,9 @@
 class EvacuationOrder(RecordOrder[ZoneEvacuation]):
     """Evacuations carry no order: what is known holds until operators have written again."""
 
-    settle_seconds = OPERATOR_REWRITE_SECONDS
-    keeps_missing = True
+    retention_seconds = OPERATOR_REWRITE_SECONDS
+    retains_missing = True
 
-    def is_older(self, _told: ZoneEvacuation, _known: ZoneEvacuation) -> bool:
+    def is_older(self, _incoming: ZoneEvacuation, _known: ZoneEvacuation) -> bool:
         """Return False: all records of a zone are equal."""
         return False
--- a/src/beamloom/node/token_core.py
+++ b/src/beamloom/node/token_core.py
@@ -1,7 +1,7 @@
 """The decision core of a token node: router, store views, reader election, view exchange.
 
 It performs no I/O. Its driver (asyncio on sockets, or the simulator) calls the store when the
-`*_turn` objects say so, passes answers to the `*_watch` objects and the resulting changes to
+`*_schedule` objects say so, passes answers to the `*_watch` objects and the resulting changes to
 `take_*`, and sends the messages that `take_sends` returns.
 """
 
@@ -16,11 +16,11 @@
 from beamloom.node.belief_observer import FROM_PEER, FROM_STORE, BeliefObserver
 from beamloom.node.evacuation_follower import EvacuationChanges, EvacuationFollower
 from beamloom.node.record_orders import BackendOrder, ConfigurationOrder
-from beamloom.replication.kept_words import KeptWords
 from beamloom.replication.object_watch import ObjectWatch
-from beamloom.replication.reader_duty import ReaderDuty
-from beamloom.replication.reading_times import ReadingTimes
-from beamloom.replication.reading_turn import ReadingTurn
+from beamloom.replication.reader_role import ReaderRole
+from beamloom.replication.retention_timer import RetentionTimer
+from beamloom.replication.store_call_schedule import StoreCallSchedule
+from beamloom.replication.store_call_times import StoreCallTimes
 from beamloom.replication.store_view import ObjectChange, StoreView
 from beamloom.routing.tokens.cold_starts import SENDERS_OF_A_BACKEND, ColdStartGate
 from beamloom.routing.tokens.configuration_history import ConfigurationHistory
@@ -79,10 +79,10 @@
         observer: BeliefObserver,
         *,
         chance: random.Random,
-        times: ReadingTimes,
+        times: StoreCallTimes,
         placement: PlacementSettings | None = None,
         mechanisms: Mechanisms = ALL_MECHANISMS,
-        evacuation_times: ReadingTimes | None = None,
+        evacuation_times: StoreCallTimes | None = None,
         known_zones: Collection[str] = (),
         cold_starts: ColdStartLimits | None = None,
         capacity: Capacity = LEAST,
@@ -102,7 +102,7 @@
         self.router.backends.use_services(frozenset(), 0.0)
         self._failure_handler = BackendJudge(self.router, observer, mechanisms)
         self.checks = self._failure_handler.checks
-        self.duty = ReaderDuty(reader_id, chance, times, mechanisms)
+        self.role = ReaderRole(reader_id, chance, times, mechanisms)
         self.backends: StoreView[BackendRecord] = StoreView(BackendOrder(heartbeat_seconds))
         self.configuration: StoreView[RoutingConfiguration] = StoreView(ConfigurationOrder())
         # Never starts from a stale list: after a store outage backends register again one by one,
@@ -111,16 +111,18 @@
         self.configuration_watch = ObjectWatch(
             self.configuration, chance, stale_start=mechanisms.stale_start
         )
-        self.backend_turn = ReadingTurn(self.backend_watch, self.duty, chance, 0)
-        self.configuration_turn = ReadingTurn(self.configuration_watch, self.duty, chance, 1)
+        self.backend_schedule = StoreCallSchedule(self.backend_watch, self.role, chance, 0)
+        self.configuration_schedule = StoreCallSchedule(
+            self.configuration_watch, self.role, chance, 1
+        )
         self.evacuations: EvacuationFollower | None = None
         if evacuation_times is not None:
             self.evacuations = EvacuationFollower(
-                self.duty,
+                self.role,
                 chance,
                 evacuation_times,
                 known_zones,
-                leader=self.backend_watch,
+                depends_on=self.backend_watch,
                 is_seed=is_seed,
                 mechanisms=mechanisms,
             )
@@ -129,7 +131,7 @@
             self.evacuations.on_unknown_zone = observer.evacuation_of_unknown_zone
         self.exchange: ViewExchange | None = None
         self._configuration_history = ConfigurationHistory()
-        self._kept_backends = KeptWords(self.backends, self._apply_settled_backends)
+        self._retained_backends = RetentionTimer(self.backends, self._apply_settled_backends)
         self.catch_up_seconds = LatencyHistogram()
         self.on_progress: Callable[[], None] = lambda: None
         self._configuration_name = configuration_name
@@ -171,7 +173,7 @@
         from beamloom.replication.shared_view import SharedView
         from beamloom.replication.view_exchange import ViewExchange
 
-        late_seconds = self.duty.times.late_seconds
+        late_seconds = self.role.times.late_seconds
         views: list[SharedView[Any]] = [
             SharedView(
                 self.backends,
@@ -195,7 +197,7 @@
             views.append(self.evacuations.make_shared_view(self._apply_evacuations))
         peers = PeerTable(host, seeds, self._rng, self._zone, self._capacity)
         by_capacity = self._mechanisms.capacity_roles
-        self.exchange = ViewExchange(views, peers, self.duty, self._rng, by_capacity=by_capacity)
+        self.exchange = ViewExchange(views, peers, self.role, self._rng, by_capacity=by_capacity)
         self.exchange.on_unusable_capacity = self._observer.unusable_capacity
         self._failure_handler.join(self.exchange)
         if self._cold_starts is not None:
@@ -231,14 +233,14 @@
         is_late = now - self._advanced_at > LATE_SECONDS
         self._advanced_at = self._now = now
         self._update_may_refuse(now)
-        self._kept_backends.advance(now)
+        self._retained_backends.advance(now)
         if self.evacuations is not None:
             self.evacuations.advance(now)
         self._failure_handler.advance(now, is_late=is_late)
         self.router.advance(now)
-        self.duty.peer_count = 0 if self.exchange is None else len(self.exchange.peers)
-        if self.duty.advance(now, joined=self.exchange is not None):
-            self._observer.reader_duty(self.duty.reading)
+        self.role.peer_count = 0 if self.exchange is None else len(self.exchange.peers)
+        if self.role.advance(now, joined=self.exchange is not None):
+            self._observer.reader_changed(self.role.reading)
         if self.exchange is not None:
             self.exchange.advance(now)
 
@@ -262,7 +264,7 @@
         if not self._mechanisms.capacity_roles:
             return
         answers = ANSWER_SHARES[state]
-        self.duty.sheds = answers < 1.0
+        self.role.sheds = answers < 1.0
         if self._cold_start_share is not None:
             self._cold_start_share.sheds = answers < 1.0
         if self.exchange is not None:
@@ -310,7 +312,7 @@
 
     def _note_answer(self, now: float) -> None:
         self._update_may_refuse(now)
-        self.duty.note_answer(now)
+        self.role.note_answer(now)
         if self.exchange is not None:
             self.exchange.announce(now)
 
@@ -334,10 +336,10 @@
 
     def _invalidate_confirmations(self) -> None:
         """Require new answers of the store: data of peers that is read after a stall may be old."""
-        self.backend_turn.distrust()
-        self.configuration_turn.distrust()
+        self.backend_schedule.discard_confirmation()
+        self.configuration_schedule.discard_confirmation()
         if self.evacuations is not None:
-            self.evacuations.turn.distrust()
+            self.evacuations.schedule.discard_confirmation()
 
     def _apply_settled_backends(
         self, changes: tuple[ObjectChange[BackendRecord], ...], now: float
--- a/src/beamloom/replication/reader_duty.py
+++ b/src/beamloom/replication/reader_role.py
@@ -5,24 +5,24 @@
 down. Ids begin with the machine's rank, so that machines with more capacity are preferred. A reader
 that fails, is partitioned or is refused by the store expires and is replaced. Extra readers cost a
 few calls. Without any, nodes whose views are not confirmed in time ask the store themselves
-(`reading_times.py`).
+(`store_call_times.py`).
 """
 
 from __future__ import annotations
 
 import random
 
-from beamloom.replication.reading_times import ReadingTimes
+from beamloom.replication.store_call_times import StoreCallTimes
 from beamloom.settings.capacity import LOWEST_RANK, Capacity
 from beamloom.settings.mechanisms import ALL_MECHANISMS, Mechanisms
 
 TARGET_READERS = 2
 """If one is lost, the other still reads until it is replaced; more would only cost calls."""
-LONGEST_HESITATION_SECONDS = 0.8
+MAXIMUM_START_DELAY_SECONDS = 0.8
 """The longest delay before becoming a reader, half of it by rank and half random; well below the
 shortest staleness (2 s).
 """
-LISTENING_SECONDS = 0.3
+READER_DISCOVERY_SECONDS = 0.3
 """How long a node that has just joined waits for digests with readers before it may become one: a
 heartbeat during discovery (DISCOVERY_HEARTBEAT_SECONDS).
 """
@@ -44,7 +44,7 @@
     return f"{Capacity(cores, link_megabits).rank}{start}"
 
 
-class ReaderDuty:
+class ReaderRole:
     """The reader role of one node; `reader_id` begins with its rank.
 
     With `sheds` set it yields the role to another reader.
@@ -54,7 +54,7 @@
         self,
         reader_id: str,
         rng: random.Random,
-        times: ReadingTimes,
+        times: StoreCallTimes,
         mechanisms: Mechanisms = ALL_MECHANISMS,
     ) -> None:
         self.reading = False
@@ -112,7 +112,7 @@
         """Whether this node joined so recently that it may not know of a reader yet."""
         if self._listens_until is None:
             return True
-        return self._now < self._listens_until + LONGEST_HESITATION_SECONDS
+        return self._now < self._listens_until + MAXIMUM_START_DELAY_SECONDS
 
     def advance(self, now: float, *, joined: bool = True) -> bool:
         """Become a reader or step down; return whether the role changed.
@@ -141,7 +141,7 @@
         if self._listens_until is None and (
             joined or now - self._started_at > LONGEST_JOIN_SECONDS
         ):
-            self._listens_until = now + LISTENING_SECONDS
+            self._listens_until = now + READER_DISCOVERY_SECONDS
         has_failed = now - self._failed_at < self.times.silence_seconds
         others = self.recent(now).keys() - {self.reader_id}
         yields = self._yields_to_other_reader(now)
@@ -172,7 +172,7 @@
     def _start_delay(self) -> float:
         """Draw the delay before becoming a reader; it is shorter for a better rank."""
         rank = int(self.reader_id[:RANK_DIGITS], 16) / LOWEST_RANK
-        half = LONGEST_HESITATION_SECONDS / 2
+        half = MAXIMUM_START_DELAY_SECONDS / 2
         return min(1.0, rank) * half + self._rng.uniform(0.0, half)
 
     def advertised_readers(self, now: float) -> list[tuple[str, float]]:
--- a/src/beamloom/replication/record_order.py
+++ b/src/beamloom/replication/record_order.py
@@ -20,42 +20,42 @@
 class RecordOrder(ABC, Generic[Record]):
     """The order of the records of one kind.
 
-    A record that is newer than a restored store's is retained for `settle_seconds`; by then its
+    A record that is newer than a restored store's is retained for `retention_seconds`; by then its
     writer has repeated it, or it is obsolete. With None it is kept for good, in any era, as the
-    records' own marks always decide. With `keeps_missing`, objects that the restored store lacks
+    records' own marks always decide. With `retains_missing`, objects that the restored store lacks
     are retained too; where records are kept for good, so are removed and unreadable ones.
     """
 
-    settle_seconds: float | None
-    keeps_missing: bool
+    retention_seconds: float | None
+    retains_missing: bool
 
     @abstractmethod
-    def is_older(self, told: Record, known: Record) -> bool:
+    def is_older(self, incoming: Record, known: Record) -> bool:
         """Whether the store's record of an object is older than the known one."""
 
-    def is_same(self, told: Record, known: Record) -> bool:
+    def is_same(self, incoming: Record, known: Record) -> bool:
         """Whether two records of an object are equivalent."""
-        return told == known
+        return incoming == known
 
     def mark(self, _record: Record) -> int:
         """Return the number that orders a record; UNMARKED if marks do not always decide."""
         return UNMARKED
 
-    def is_new_life(self, _told: Record, _ended: Record) -> bool:
+    def is_recreated(self, _incoming: Record, _removed: Record) -> bool:
         """Whether a removed object that a restored store lists was certainly created again."""
         return False
 
 
-class NoOrder(RecordOrder[Record]):
+class UnorderedRecords(RecordOrder[Record]):
     """The order of records without marks: the store's records take effect at once."""
 
-    settle_seconds = 0.0
-    keeps_missing = False
+    retention_seconds = 0.0
+    retains_missing = False
 
-    def is_older(self, _told: Record, _known: Record) -> bool:
+    def is_older(self, _incoming: Record, _known: Record) -> bool:
         """Return False: without marks no record is known to be older."""
         return False
 
-    def is_new_life(self, _told: Record, _ended: Record) -> bool:
+    def is_recreated(self, _incoming: Record, _removed: Record) -> bool:
         """Return True: every object that the store lists exists."""
         return True
--- a/src/beamloom/replication/kept_words.py
+++ b/src/beamloom/replication/retention_timer.py
@@ -11,7 +11,7 @@
 Record = TypeVar("Record")
 
 
-class KeptWords(Generic[Record]):
+class RetentionTimer(Generic[Record]):
     """The retention timer of one view; it calls `apply` with the resulting changes and the time."""
 
     def __init__(
@@ -25,10 +25,10 @@
         self._started_at = 0.0
 
     def advance(self, now: float) -> None:
-        """Give up the retained records once they were held in one era for `settle_seconds`."""
+        """Give up the retained records once they were held in one era for `retention_seconds`."""
         view = self._view
-        seconds = view.order.settle_seconds
-        if view.revision is None or not view.keeps_words or seconds is None:
+        seconds = view.order.retention_seconds
+        if view.revision is None or not view.has_retained_records or seconds is None:
             self._era = None
             return
         era = era_of(view.revision)
@@ -36,4 +36,4 @@
             self._era, self._started_at = era, now
         elif now - self._started_at >= seconds:
             self._era = None
-            self._apply(view.settle(), now)
+            self._apply(view.release_retained(), now)
--- a/src/beamloom/replication/reading_turn.py
+++ b/src/beamloom/replication/store_call_schedule.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from beamloom.replication.object_watch import ObjectWatch
-from beamloom.replication.reader_duty import ReaderDuty
-from beamloom.replication.reading_times import STALE_SPREAD_SECONDS, ReadingTimes
+from beamloom.replication.reader_role import ReaderRole
+from beamloom.replication.store_call_times import STALE_SPREAD_SECONDS, StoreCallTimes
 
 STALE_WITHOUT_READERS_SECONDS = 0.7
 """While no reader is known, as after a start of all nodes, a view becomes stale sooner."""
@@ -24,34 +24,34 @@
     RETRY = "retry"
 
 
-class ReadingTurn:
+class StoreCallSchedule:
     """The calls of one node for one kind of object, which has the number `kind`.
 
-    `times` defaults to that of `duty`. With `begins_with_peers` a starting node waits for a list
+    `times` defaults to that of `role`. With `lists_from_peers` a starting node waits for a list
     from its peers before it lists the store itself, as long as it waits for their changes after a
-    stale list. While calls of `leader`, the watch of another kind, fail, only readers call.
+    stale list. While calls of `depends_on`, the watch of another kind, fail, only readers call.
     """
 
     def __init__(
         self,
         watch: ObjectWatch[Any],
-        duty: ReaderDuty,
+        role: ReaderRole,
         rng: random.Random,
         kind: int = 0,
         *,
-        times: ReadingTimes | None = None,
-        begins_with_peers: bool = False,
-        leader: ObjectWatch[Any] | None = None,
+        times: StoreCallTimes | None = None,
+        lists_from_peers: bool = False,
+        depends_on: ObjectWatch[Any] | None = None,
     ) -> None:
-        self._leader = leader
+        self._depends_on = depends_on
         self._watch = watch
         self._kind = kind
-        self._duty = duty
-        self._times = duty.times if times is None else times
+        self._role = role
+        self._times = role.times if times is None else times
         self._rng = rng
         self._stale_after = self._times.stale_seconds
         self._stale_spread = 0.0
-        self._begins_with_peers = begins_with_peers
+        self._lists_from_peers = lists_from_peers
         self._lists_at: float | None = None
         self._unconfirmed_until = float("-inf")
         self._gather_seconds = 0.0
@@ -66,20 +66,20 @@
                 return CallPurpose.START
             if self._watch.must_list:
                 return CallPurpose.HISTORY_LOST
-        return CallPurpose.READER if self._duty.reads(self._kind) else CallPurpose.CONFIRMATION
+        return CallPurpose.READER if self._role.reads(self._kind) else CallPurpose.CONFIRMATION
 
     @property
     def wait_seconds(self) -> float:
         """How long a watch may wait: 0 unless this node reads the kind and is advertised."""
-        if not self._duty.reads(self._kind) or not self._duty.answered:
+        if not self._role.reads(self._kind) or not self._role.answered:
             return 0.0
         return self._times.wait_seconds - self._gather_seconds
 
     def must_ask(self, now: float) -> bool:
         """Whether to call now: as a reader, for a missing list, or because the view is stale."""
-        if self._duty.reads(self._kind):
+        if self._role.reads(self._kind):
             return True
-        if self._leader is not None and self._leader.failures:
+        if self._depends_on is not None and self._depends_on.failures:
             return False
         if self._watch.must_list and not self._watch.holds_stale:
             return not self._awaits_list_from_peers(now)
@@ -89,9 +89,9 @@
         age = self._watch.view.age(now)
         if age is None:
             return now >= self._unconfirmed_until
-        if not (self._duty.recent(now) or self._duty.expects_reader):
+        if not (self._role.recent(now) or self._role.expects_reader):
             return age >= min(self._stale_after, STALE_WITHOUT_READERS_SECONDS + self._stale_spread)
-        if self._duty.reading:
+        if self._role.reading:
             return age >= self._times.overdue_seconds
         return age >= self._stale_after
 
@@ -101,7 +101,7 @@
         This applies after an empty stale list too: the store may hold nothing yet, and a fresh list
         by every starting node would be wasted.
         """
-        waits = self._begins_with_peers or self._watch.rejected_empty_list
+        waits = self._lists_from_peers or self._watch.rejected_empty_list
         if not waits or self._watch.view.revision is not None:
             return False
         if self._lists_at is None:
@@ -127,12 +127,12 @@
         The pause depends on the size of the fleet, unless this node lacks a list or is a reader
         that was answered recently.
         """
-        self._duty.note_failure(now)
+        self._role.note_failure(now)
         lacks_list = self._watch.must_list and not self._watch.holds_stale
-        is_urgent = lacks_list or (self._duty.reading and self._duty.answered)
-        return self._watch.take_failure(0.0 if is_urgent else self._duty.shared_pause_seconds())
+        is_urgent = lacks_list or (self._role.reading and self._role.answered)
+        return self._watch.take_failure(0.0 if is_urgent else self._role.shared_pause_seconds())
 
-    def distrust(self) -> None:
+    def discard_confirmation(self) -> None:
         """Discard the confirmation, as after a stall, which makes old messages look recent."""
         self._watch.view.confirmed_at = None
         self._unconfirmed_until = float("-inf")
--- a/src/beamloom/replication/reading_times.py
+++ b/src/beamloom/replication/store_call_times.py
@@ -8,7 +8,7 @@
 
 from beamloom.settings.mechanisms import ALL_MECHANISMS, Mechanisms
 
-CALL_PATIENCE_SECONDS = 0.7
+CALL_TIMEOUT_SECONDS = 0.7
 """How long an answer may take, in addition to the wait that the call requests."""
 FIRST_PAUSE_SECONDS = 0.1
 LONGEST_PAUSE_SECONDS = 0.8
@@ -39,7 +39,7 @@
 DEFAULT_CONTACT_SECONDS = 4.0
 
 
-class ReadingTimes(NamedTuple):
+class StoreCallTimes(NamedTuple):
     """The times of a node's calls to the store, in seconds.
 
     - `wait_seconds`: how long a reader's watch may wait.
@@ -64,28 +64,28 @@
     outage_pause_seconds: float
 
 
-def reading_times(
+def store_call_times(
     bound_seconds: float = DEFAULT_BOUND_SECONDS,
     contact_seconds: float = DEFAULT_CONTACT_SECONDS,
     mechanisms: Mechanisms = ALL_MECHANISMS,
     *,
     longest_stale_seconds: float = LONGEST_STALE_SECONDS,
     longest_wait_seconds: float = LONGEST_WAIT_SECONDS,
-) -> ReadingTimes:
+) -> StoreCallTimes:
     """Return the times for a bound on the delay of changes.
 
     After an outage of the store a node must read again within `contact_seconds`, in which a hanging
     watch, a pause and one more call must fit. `longest_stale_seconds` and `longest_wait_seconds`
     limit staleness and a watch's wait where the bound would allow more.
     """
-    call = CALL_PATIENCE_SECONDS + STALE_SPREAD_SECONDS
+    call = CALL_TIMEOUT_SECONDS + STALE_SPREAD_SECONDS
     stale = min(longest_stale_seconds, bound_seconds - call)
-    hanging = contact_seconds - 2 * CALL_PATIENCE_SECONDS - LONGEST_PAUSE_SECONDS
+    hanging = contact_seconds - 2 * CALL_TIMEOUT_SECONDS - LONGEST_PAUSE_SECONDS
     wait = min(longest_wait_seconds, WAIT_SHARE_OF_STALE * stale, hanging)
     wait = max(MINIMUM_SECONDS, wait)
     stale = max(MINIMUM_SECONDS, stale)
     gather = min(LONGEST_GATHER_SECONDS, GATHER_SHARE_OF_WAIT * wait)
-    return ReadingTimes(
+    return StoreCallTimes(
         wait_seconds=wait,
         stale_seconds=stale,
         silence_seconds=2 * wait + 0.2,
@@ -97,16 +97,16 @@
     )
 
 
-def evacuation_reading_times(
+def evacuation_store_call_times(
     evacuate_seconds: float,
     contact_seconds: float = DEFAULT_CONTACT_SECONDS,
     mechanisms: Mechanisms = ALL_MECHANISMS,
-) -> ReadingTimes:
+) -> StoreCallTimes:
     """Return the times for evacuations, which are read less often than the other kinds.
 
     A node that has just started waits for its peers for at least `wait_seconds`.
     """
-    times = reading_times(
+    times = store_call_times(
         evacuate_seconds,
         contact_seconds,
         mechanisms,
--- a/src/beamloom/replication/store_view.py
+++ b/src/beamloom/replication/store_view.py
@@ -17,7 +17,7 @@
 from typing import Generic, NamedTuple, TypeVar
 
 from beamloom.model.store_revision import era_of
-from beamloom.replication.record_order import UNMARKED, NoOrder, RecordOrder
+from beamloom.replication.record_order import UNMARKED, RecordOrder, UnorderedRecords
 
 Record = TypeVar("Record")
 
@@ -58,7 +58,7 @@
     """
 
     def __init__(self, order: RecordOrder[Record] | None = None) -> None:
-        self.order: RecordOrder[Record] = NoOrder() if order is None else order
+        self.order: RecordOrder[Record] = UnorderedRecords() if order is None else order
         self.revision: int | None = None
         self.confirmed_at: float | None = None
         self._stored: dict[str, NamedRecord[Record]] = {}
@@ -71,14 +71,14 @@
         return len(self._stored)
 
     @property
-    def keeps_words(self) -> bool:
+    def has_retained_records(self) -> bool:
         """Whether records are retained that are newer than those of the restored store."""
         return bool(self._retained)
 
     @property
     def mark(self) -> int:
         """The highest mark of the records; UNMARKED if none, or if marks do not always decide."""
-        if self.order.settle_seconds is not None:
+        if self.order.retention_seconds is not None:
             return UNMARKED
         marks = (self.order.mark(named.record) for named in self._stored.values())
         return max(marks, default=UNMARKED)
@@ -137,7 +137,7 @@
         if self.revision is not None and revision < self.revision:
             return ()
         listed = {named.name: named for named in records}
-        if self.order.settle_seconds is None:
+        if self.order.retention_seconds is None:
             self._keep_newer_records(listed, revision)
         restored = self.revision is not None and era_of(revision) != era_of(self.revision)
         retained = self._records_to_retain(listed) if restored or self._retained else {}
@@ -158,7 +158,7 @@
         self.revision = revision
         return tuple(changes)
 
-    def settle(self) -> tuple[ObjectChange[Record], ...]:
+    def release_retained(self) -> tuple[ObjectChange[Record], ...]:
         """Give up all retained records for what the store holds; return the changes."""
         assert self.revision is not None
         names = list(self._retained)
@@ -222,7 +222,7 @@
 
         A node that starts after a restore reads the older copy; its peers may hold newer records.
         """
-        if self.order.settle_seconds is not None or self.revision is None:
+        if self.order.retention_seconds is not None or self.revision is None:
             return None
         merged = []
         for name, _, record in delta.changes:
@@ -239,7 +239,7 @@
         for name, known in self._stored.items():
             incoming = listed.get(name)
             if incoming is None:
-                if self.order.keeps_missing:
+                if self.order.retains_missing:
                     listed[name] = known._replace(revision=revision)
             elif self.order.is_older(incoming.record, known.record):
                 listed[name] = incoming._replace(record=known.record)
@@ -252,14 +252,14 @@
         current = self._current_records()
         for name, known in current.items():
             incoming = listed.get(name)
-            is_missing = incoming is None and self.order.keeps_missing
+            is_missing = incoming is None and self.order.retains_missing
             if is_missing or (incoming is not None and self.order.is_older(incoming.record, known)):
                 retained[name] = known
         for name, incoming in listed.items():
             removed = self._removed_records.get(name)
             if removed is None or name in current:
                 continue
-            if not self.order.is_new_life(incoming.record, removed):
+            if not self.order.is_recreated(incoming.record, removed):
                 retained[name] = None
         return retained
 
@@ -291,7 +291,7 @@
         known = self._stored.get(change.name)
         if change.record is None:
             is_older = known is not None and known.revision > change.revision
-            if is_older or (self.order.settle_seconds is None and self.order.keeps_missing):
+            if is_older or (self.order.retention_seconds is None and self.order.retains_missing):
                 return False
             return self._remove(change, revision)
         if known is not None and known.revision >= change.revision:
@@ -319,7 +319,7 @@
 
     def _is_outdated(self, record: Record, known: Record) -> bool:
         """Whether the known record is newer by marks that always decide."""
-        return self.order.settle_seconds is None and self.order.is_older(record, known)
+        return self.order.retention_seconds is None and self.order.is_older(record, known)
 
     def _remember_removed(self, names: Iterable[str]) -> None:
         """Remember the last record of removed objects, which a restored store may list again."""
--- a/src/beamloom/replication/view_exchange.py
+++ b/src/beamloom/replication/view_exchange.py
@@ -32,7 +32,7 @@
 )
 from beamloom.replication.backend_reports import BackendReports
 from beamloom.replication.peer_table import UNKNOWN_RANK, PeerTable
-from beamloom.replication.reader_duty import ReaderDuty
+from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.shared_view import SharedView
 from beamloom.replication.stop_turns import StopState, StopTurns
 from beamloom.replication.view_pulls import SendToHost, ViewPulls
@@ -67,7 +67,7 @@
         self,
         views: Sequence[SharedView[Any]],
         peers: PeerTable,
-        duty: ReaderDuty,
+        role: ReaderRole,
         rng: random.Random,
         *,
         by_capacity: bool = True,
@@ -75,10 +75,10 @@
         self.counters: Counter[str] = Counter()
         self.on_unusable_capacity: Callable[[str, tuple[str, ...]], None] = _ignore
         self.peers = peers
-        self.reports = BackendReports(duty.reader_id)
+        self.reports = BackendReports(role.reader_id)
         self.stops = StopTurns(peers.host)
         self.views = views
-        self._duty = duty
+        self._role = role
         self._rng = rng
         self._by_capacity = by_capacity
         self._sheds_load = False
@@ -223,7 +223,7 @@
         has_newer_confirmation = False
         has_readers = False
         for reader, age in digest.readers:
-            has_readers |= self._duty.note_reader(reader, now - age / MILLISECONDS)
+            has_readers |= self._role.note_reader(reader, now - age / MILLISECONDS)
         self._compare_marks(host, digest, now)
         for index, (shared, (revision, age)) in enumerate(
             zip(self.views, _revisions_in(digest), strict=False)
@@ -323,7 +323,7 @@
             ]
             for shared in self.views
         ]
-        readers = [(name, _age(at, now)) for name, at in self._duty.advertised_readers(now)]
+        readers = [(name, _age(at, now)) for name, at in self._role.advertised_readers(now)]
         sample = self.peers.sample(now) if names_peers else []
         peers = [(host, int(age * MILLISECONDS)) for host, age in sample]
         ranks = [self.peers.rank_of(host) for host, _ in peers]
--- a/src/beamloom/runtime/connection_limits.py
+++ b/src/beamloom/runtime/connection_limits.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from beamloom.replication.reading_times import CALL_PATIENCE_SECONDS
+from beamloom.replication.store_call_times import CALL_TIMEOUT_SECONDS
 from beamloom.units import MILLISECONDS
 
 CONNECT_SECONDS = 0.7
@@ -90,8 +90,8 @@
 
 def watch_limits(wait_seconds: float) -> CallLimits:
     """Return the limits of a watch that the store may let wait."""
-    deadline = wait_seconds + CALL_PATIENCE_SECONDS
-    return CallLimits(deadline, CALL_PATIENCE_SECONDS, waits=wait_seconds > 0)
+    deadline = wait_seconds + CALL_TIMEOUT_SECONDS
+    return CallLimits(deadline, CALL_TIMEOUT_SECONDS, waits=wait_seconds > 0)
 
 
 def notice_silence(connection: socket.socket) -> None:
--- a/src/beamloom/runtime/decision_log.py
+++ b/src/beamloom/runtime/decision_log.py
@@ -166,9 +166,9 @@
         """Record that a backend that was found dead is reachable again."""
         self._log.record("BackendUp", {"backend": record.name, "service": record.service})
 
-    def reader_duty(self, reading: bool) -> None:
+    def reader_changed(self, reading: bool) -> None:
         """Record that this node became a reader of the store, or ceased to be one."""
-        self._log.record("ReaderDuty", {"reading": reading})
+        self._log.record("ReaderRole", {"reading": reading})
 
     def stalled(self, seconds: float) -> None:
         """Record that the process stalled for `seconds`."""
--- a/src/beamloom/runtime/fleet_secret.py
+++ b/src/beamloom/runtime/fleet_secret.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 
 from beamloom.platform import store_objects
-from beamloom.replication.reader_duty import ReaderDuty
+from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.shared_secret import SecretStep, SharedSecret
 from beamloom.routing.tokens.token import KEY_BYTES
 from beamloom.runtime.decision_log import DecisionLog
@@ -63,7 +63,7 @@
     def __init__(
         self,
         settings: TokenNodeSettings,
-        duty: ReaderDuty,
+        role: ReaderRole,
         chance: random.Random,
         connection: HttpConnection,
         open_link: Callable[[], PeerLink | None],
@@ -74,7 +74,7 @@
         self.settings = settings
         self.known: tuple[bytes, ...] = ()
         self.on_change: Callable[[], None] = lambda: None
-        self._duty = duty
+        self._role = role
         self._chance = chance
         self._connection = connection
         self._open_link = open_link
@@ -119,7 +119,7 @@
         """Look after the secret in the store whenever that may have lost it; until cancelled."""
         while True:
             await self._must_look.wait()
-            if not self._duty.reading:
+            if not self._role.reading:
                 await asyncio.sleep(self._chance.uniform(0.0, CHECK_SPREAD_SECONDS))
             self._must_look.clear()
             await self._look()
@@ -167,7 +167,7 @@
         steps = SharedSecret(self._chance, first_step=SecretStep.READ)
         held = self.known[0]
         secret = await fetch_shared_secret(
-            steps, self._connection, _FORMAT, offered=held, pause=self._duty.shared_pause_seconds
+            steps, self._connection, _FORMAT, offered=held, pause=self._role.shared_pause_seconds
         )
         self._connection.close()
         if secret != held:
--- a/src/beamloom/runtime/store_follower.py
+++ b/src/beamloom/runtime/store_follower.py
@@ -19,7 +19,7 @@
 from beamloom.node.token_core import TokenCore
 from beamloom.platform import store_objects
 from beamloom.replication.object_watch import ObjectWatch
-from beamloom.replication.reading_turn import ReadingTurn
+from beamloom.replication.store_call_schedule import StoreCallSchedule
 from beamloom.replication.store_view import ObjectChange
 from beamloom.runtime.connection_limits import ConnectionKind
 from beamloom.runtime.decision_log import DecisionLog
@@ -87,7 +87,7 @@
         self._was_alone = False
         self.secret = FleetSecret(
             settings,
-            core.duty,
+            core.role,
             chance,
             self._connect(ConnectionKind.SECRET),
             self._open_link,
@@ -96,11 +96,13 @@
         )
         self.secret.on_change = self._use_secrets
         self.readers: list[StoreReader[Any]] = [
-            self._make_reader(_BACKENDS, core.backend_watch, core.backend_turn, core.take_backends),
+            self._make_reader(
+                _BACKENDS, core.backend_watch, core.backend_schedule, core.take_backends
+            ),
             self._make_reader(
                 _CONFIGURATION,
                 core.configuration_watch,
-                core.configuration_turn,
+                core.configuration_schedule,
                 core.take_configuration,
             ),
         ]
@@ -108,7 +110,7 @@
         if evacuations is not None:
             self.readers.append(
                 self._make_reader(
-                    _EVACUATIONS, evacuations.watch, evacuations.turn, core.take_evacuations
+                    _EVACUATIONS, evacuations.watch, evacuations.schedule, core.take_evacuations
                 )
             )
 
@@ -190,7 +192,7 @@
         from beamloom.runtime.peer_link import PeerLink
 
         settings = self._settings
-        sender = self._core.duty.reader_id
+        sender = self._core.role.reader_id
         try:
             self.link = PeerLink(
                 settings.host, settings.peer_port, sender, self._take_message, self._take_open
@@ -226,11 +228,11 @@
         self,
         kind: KindFormat[Record],
         watch: ObjectWatch[Record],
-        turn: ReadingTurn,
+        schedule: StoreCallSchedule,
         take: Callable[[tuple[ObjectChange[Record], ...], float], None],
     ) -> StoreReader[Record]:
         connection = self._connect(ConnectionKind(kind.label))
-        reader = StoreReader(watch, kind, connection, turn)
+        reader = StoreReader(watch, kind, connection, schedule)
         dependency = f"store {kind.label}"
         reader.on_failure = functools.partial(self._decisions.dependency_lost, dependency)
         reader.on_unreadable = functools.partial(self._decisions.object_unreadable, kind.label)
--- a/src/beamloom/runtime/store_reader.py
+++ b/src/beamloom/runtime/store_reader.py
@@ -3,7 +3,7 @@
 Each call has a deadline, so a connection that is dead, or a store that takes calls and never
 answers, costs one wait. A connection that the kernel finds silent says nothing of the store: the
 next call follows at once on a new one, and does not wait for a change, so that the view is
-confirmed before other nodes find theirs stale. A node that has the reader's duty watches all the
+confirmed before other nodes find theirs stale. A node that has the reader role watches all the
 time; any other asks only when its view has not been confirmed for a while, by itself or by peers.
 """
 
@@ -22,7 +22,7 @@
     ObjectWatch,
     WatchRequest,
 )
-from beamloom.replication.reading_turn import ReadingTurn
+from beamloom.replication.store_call_schedule import StoreCallSchedule
 from beamloom.replication.store_view import ObjectChange
 from beamloom.runtime.connection_limits import (
     LIST_SECONDS,
@@ -64,7 +64,7 @@
         watch: ObjectWatch[Record],
         kind: KindFormat[Record],
         connection: HttpConnection,
-        turn: ReadingTurn,
+        schedule: StoreCallSchedule,
     ) -> None:
         self.watch = watch
         self.counters: Counter[str] = Counter()
@@ -79,7 +79,7 @@
         self.era: int | None = None
         self._kind = kind
         self._connection = connection
-        self._turn = turn
+        self._schedule = schedule
         self._wake = asyncio.Event()
         self._list_seconds = LIST_SECONDS
         self._rest_seconds = 0.0
@@ -87,7 +87,7 @@
 
     def advance(self, now: float) -> None:
         """Begin to ask where it has become necessary; to be called a few times a second."""
-        if self._turn.must_ask(now):
+        if self._schedule.must_ask(now):
             self._wake.set()
 
     async def run(self) -> None:
@@ -97,7 +97,7 @@
                 await self._wait_for_turn()
                 failure = await self._step()
                 if failure is not None:
-                    self._rest_seconds = self._turn.note_failure(_now())
+                    self._rest_seconds = self._schedule.note_failure(_now())
                     self.on_failure(failure, self.watch.failures)
                 if self._rest_seconds:
                     await asyncio.sleep(self._rest_seconds)
@@ -105,7 +105,7 @@
             self._connection.close()
 
     async def _wait_for_turn(self) -> None:
-        if self._turn.must_ask(_now()):
+        if self._schedule.must_ask(_now()):
             return
         self._connection.close()
         self._wake.clear()
@@ -148,11 +148,11 @@
         return failure.value
 
     async def _call(self, request: ListRequest | WatchRequest) -> HttpAnswer:
-        self.purposes[self._turn.purpose.value] += 1
+        self.purposes[self._schedule.purpose.value] += 1
         if isinstance(request, ListRequest):
             limits = list_limits(self._list_seconds)
             return await self._connection.call("GET", self._kind.list_path(request), limits)
-        wait = 0.0 if self._was_silent else self._turn.wait_seconds
+        wait = 0.0 if self._was_silent else self._schedule.wait_seconds
         path = self._kind.watch_path(request, wait)
         return await self._connection.call("GET", path, watch_limits(wait))
 
@@ -168,7 +168,7 @@
             changes = self._take_body(request, answer, asked_at)
         except ValueError as error:
             return f"unreadable: {error}"
-        self._rest_seconds = self._turn.note_answer(_now(), changes=bool(changes))
+        self._rest_seconds = self._schedule.note_answer(_now(), changes=bool(changes))
         self.on_answer(changes)
         return None
 
--- a/src/beamloom/runtime/token_metrics.py
+++ b/src/beamloom/runtime/token_metrics.py
@@ -128,7 +128,7 @@
         "evacuated_zones": None if evacuations is None else len(evacuations.since),
         "evacuations_age_seconds": None if evacuations is None else evacuations.view.age(now),
         "peers": 0 if core.exchange is None else len(core.exchange.peers),
-        "reads_store": int(core.duty.reading),
+        "reads_store": int(core.role.reading),
         "own_limits_state": node.limit_watch.level,
         "ready": int(node.ready),
     }
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -19,11 +19,11 @@
 
 from beamloom.node.token_core import TokenCore
 from beamloom.platform import packet_layout, store_objects
-from beamloom.replication.reader_duty import reader_id_of
-from beamloom.replication.reading_times import (
-    ReadingTimes,
-    evacuation_reading_times,
-    reading_times,
+from beamloom.replication.reader_role import reader_id_of
+from beamloom.replication.store_call_times import (
+    StoreCallTimes,
+    evacuation_store_call_times,
+    store_call_times,
 )
 from beamloom.routing.tokens.placement import placement_settings
 from beamloom.runtime.backend_check import BackendChecker
@@ -87,7 +87,7 @@
             store_objects.CONFIGURATION_NAME,
             self.decisions,
             chance=chance,
-            times=reading_times(
+            times=store_call_times(
                 min(settings.apply_seconds, settings.drain_seconds),
                 settings.contact_seconds,
                 mechanisms,
@@ -320,11 +320,13 @@
         return HttpAnswer(503, b"not ready\n")
 
 
-def _evacuation_times(settings: TokenNodeSettings, mechanisms: Mechanisms) -> ReadingTimes | None:
+def _evacuation_times(settings: TokenNodeSettings, mechanisms: Mechanisms) -> StoreCallTimes | None:
     """Return the times for evacuations; None where operators cannot ask for them."""
     if settings.evacuate_seconds is None:
         return None
-    return evacuation_reading_times(settings.evacuate_seconds, settings.contact_seconds, mechanisms)
+    return evacuation_store_call_times(
+        settings.evacuate_seconds, settings.contact_seconds, mechanisms
+    )
 
 
 def first_tick_seconds(chance: random.Random, mechanisms: Mechanisms) -> float:
--- a/src/beamloom/simulation/tokens/node.py
+++ b/src/beamloom/simulation/tokens/node.py
@@ -11,12 +11,12 @@
 from beamloom.platform import packet_layout
 from beamloom.protocol.messages import Message
 from beamloom.replication.object_watch import ListRequest, ObjectWatch, OlderAnswerError
-from beamloom.replication.reading_times import (
-    CALL_PATIENCE_SECONDS,
-    evacuation_reading_times,
-    reading_times,
+from beamloom.replication.store_call_schedule import StoreCallSchedule
+from beamloom.replication.store_call_times import (
+    CALL_TIMEOUT_SECONDS,
+    evacuation_store_call_times,
+    store_call_times,
 )
-from beamloom.replication.reading_turn import ReadingTurn
 from beamloom.replication.store_view import ObjectChange
 from beamloom.routing.tokens.backend_table import Backend
 from beamloom.routing.tokens.liveness import CheckOutcome
@@ -47,20 +47,20 @@
         node: SimulatedTokenNode,
         kind: str,
         watch: ObjectWatch[Any],
-        turn: ReadingTurn,
+        schedule: StoreCallSchedule,
         take: Callable[[tuple[ObjectChange[Any], ...], float], None],
     ) -> None:
         self._node = node
         self._kind = kind
         self._watch = watch
-        self._turn = turn
+        self._schedule = schedule
         self._take = take
         self._call = 0
         self._busy = False
 
     def advance(self) -> None:
         """Ask where it is this node's turn."""
-        if not self._busy and self._turn.must_ask(self._node.clock.now):
+        if not self._busy and self._schedule.must_ask(self._node.clock.now):
             self._ask()
 
     def _ask(self) -> None:
@@ -68,8 +68,8 @@
         self._call += 1
         call, asked_at = self._call, self._node.clock.now
         request = self._watch.next_request()
-        self._node.observer.counters[f"call_{self._kind}_{self._turn.purpose.value}"] += 1
-        wait = 0.0 if isinstance(request, ListRequest) else self._turn.wait_seconds
+        self._node.observer.counters[f"call_{self._kind}_{self._schedule.purpose.value}"] += 1
+        wait = 0.0 if isinstance(request, ListRequest) else self._schedule.wait_seconds
 
         def take_answer(answer: StoreAnswer) -> None:
             if call == self._call:
@@ -80,7 +80,7 @@
             take_answer(StoreAnswer())
 
         self._node.link.call(self._node.host, self._kind, request, wait, take_answer)
-        self._node.clock.call_later(wait + CALL_PATIENCE_SECONDS, give_up)
+        self._node.clock.call_later(wait + CALL_TIMEOUT_SECONDS, give_up)
 
     def _take_answer(self, answer: StoreAnswer, asked_at: float) -> None:
         now = self._node.clock.now
@@ -93,9 +93,9 @@
         except OlderAnswerError:
             changes = None
         if changes is None:
-            self._node.clock.call_later(self._turn.note_failure(now), self._rest)
+            self._node.clock.call_later(self._schedule.note_failure(now), self._rest)
             return
-        rest = self._turn.note_answer(now, changes=bool(changes))
+        rest = self._schedule.note_answer(now, changes=bool(changes))
         self._take(changes, now)
         self._node.send_messages()
         self._node.clock.call_later(rest, self._rest)
@@ -152,8 +152,8 @@
             CONFIGURATION_NAME,
             self.observer,
             chance=chance,
-            times=reading_times(),
-            evacuation_times=evacuation_reading_times(EVACUATE_SECONDS),
+            times=store_call_times(),
+            evacuation_times=evacuation_store_call_times(EVACUATE_SECONDS),
             mechanisms=mechanisms,
             is_seed=host in seeds,
         )
@@ -166,12 +166,12 @@
         self.core.checks.begin = self._begin_check
         core = self.core
         self._readers = [
-            _Reader(self, BACKENDS, core.backend_watch, core.backend_turn, core.take_backends),
+            _Reader(self, BACKENDS, core.backend_watch, core.backend_schedule, core.take_backends),
             _Reader(
                 self,
                 CONFIGURATION,
                 core.configuration_watch,
-                core.configuration_turn,
+                core.configuration_schedule,
                 core.take_configuration,
             ),
         ]
@@ -182,7 +182,7 @@
                     self,
                     EVACUATIONS,
                     evacuations.watch,
-                    evacuations.turn,
+                    evacuations.schedule,
                     core.take_evacuations,
                 )
             )
--- a/src/beamloom/simulation/tokens/quiet_observer.py
+++ b/src/beamloom/simulation/tokens/quiet_observer.py
@@ -61,8 +61,8 @@
         """Count a backend that can be reached again."""
         self.counters["up"] += 1
 
-    def reader_duty(self, reading: bool) -> None:
-        """Count a duty taken up or given up."""
+    def reader_changed(self, reading: bool) -> None:
+        """Count a change of the reader role."""
         self.counters["duty"] += 1
 
     def stalled(self, seconds: float) -> None:
--- a/tests/functional/test_token_node.py
+++ b/tests/functional/test_token_node.py
@@ -7,11 +7,11 @@
 import time
 import unittest
 
-from beamloom.replication.reader_duty import LISTENING_SECONDS, LONGEST_HESITATION_SECONDS
-from beamloom.replication.reading_times import (
+from beamloom.replication.reader_role import MAXIMUM_START_DELAY_SECONDS, READER_DISCOVERY_SECONDS
+from beamloom.replication.store_call_times import (
     LONGEST_UNCONFIRMED_SECONDS,
     STALE_SPREAD_SECONDS,
-    reading_times,
+    store_call_times,
 )
 from beamloom.routing.tokens.records import BackendState
 from beamloom.runtime.planned_stop import LONGEST_FORWARD_SECONDS, SHORTEST_PROBE_GAP_SECONDS
@@ -21,9 +21,9 @@
 from tests.functional.token_node_case import METRICS_PORT, TokenNodeCase
 
 LONGEST_STOP_SECONDS = 6.0
-READERS_SETTLE_SECONDS = LISTENING_SECONDS + LONGEST_HESITATION_SECONDS + 0.5
+READERS_SETTLE_SECONDS = READER_DISCOVERY_SECONDS + MAXIMUM_START_DELAY_SECONDS + 0.5
 """Until then a node hears of changes within the bounds of a start, not at once."""
-LONGEST_HEARING_SECONDS = reading_times().overdue_seconds + 2 * TICK_SECONDS + 0.2
+LONGEST_HEARING_SECONDS = store_call_times().overdue_seconds + 2 * TICK_SECONDS + 0.2
 """After the loss of a reader the other one steps in; a tick until it asks, one until it logs."""
 NOT_BEFORE_READY = {
     "aiohttp",
--- a/tests/unit/simulation/test_large_fleet.py
+++ b/tests/unit/simulation/test_large_fleet.py
@@ -4,9 +4,9 @@
 import unittest
 from collections import Counter
 
-from beamloom.replication.reader_duty import TARGET_READERS
-from beamloom.replication.reading_times import reading_times
-from beamloom.replication.reading_turn import CallPurpose
+from beamloom.replication.reader_role import TARGET_READERS
+from beamloom.replication.store_call_schedule import CallPurpose
+from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.view_exchange import HEARTBEAT_SECONDS
 from beamloom.simulation.tokens.deployment import first_routes
 from beamloom.simulation.tokens.fleet import TokenFleet
@@ -66,7 +66,7 @@
                 self.assertLessEqual(started / nodes, 3.0)
                 evacuations = calls_by_purpose(fleet, EVACUATIONS)
                 self.assertLessEqual(sum(evacuations.values()) / nodes, 0.4)
-                readers = [node for node in fleet.nodes.values() if node.core.duty.reading]
+                readers = [node for node in fleet.nodes.values() if node.core.role.reading]
                 self.assertEqual(len(readers), TARGET_READERS)
 
     def test_all_hear_of_the_store_soon_after_a_common_start(self) -> None:
@@ -96,7 +96,7 @@
         return next(
             name
             for name, node in self.fleet.nodes.items()
-            if node.alive and node.core.duty.reads(CONFIGURATION_KIND)
+            if node.alive and node.core.role.reads(CONFIGURATION_KIND)
         )
 
     def test_nearly_all_hear_news_within_a_moment_while_both_readers_live(self) -> None:
@@ -114,7 +114,7 @@
         self.fleet.set_routes(first_routes())
         self.fleet.run(NEWS_SECONDS)
         self.assertNotEqual(self.missing(), [])
-        self.fleet.run(reading_times().overdue_seconds)
+        self.fleet.run(store_call_times().overdue_seconds)
         self.assertEqual(self.missing(), [])
 
 
--- a/tests/unit/simulation/test_store_restored.py
+++ b/tests/unit/simulation/test_store_restored.py
@@ -120,7 +120,7 @@
         """What was taken for two orders of revisions was one entry, told at a wrong revision.
 
         A node reset two flows of a living backend when it believed the entry of the former owner of
-        its address again; tests/unit/tokens/test_backend_lives.py tells how.
+        its address again; tests/unit/tokens/test_backend_restarts.py tells how.
         """
         options = TokenRunOptions(4023, faults=18, steady=False, restores=5, tells_era=False)
         self.assertEqual(run_tokens(options).violations, [])
--- a/tests/unit/simulation/test_token_fleet.py
+++ b/tests/unit/simulation/test_token_fleet.py
@@ -97,7 +97,7 @@
             fleet.run(6.0)
             zone = ZONES[seed]
             fleet.evacuate_zone(zone, 20.0)
-            readers = [name for name, node in fleet.nodes.items() if node.core.duty.reading]
+            readers = [name for name, node in fleet.nodes.items() if node.core.role.reading]
             for name in readers:
                 fleet.kill_node(name)
             for _ in range(100):
--- a/tests/unit/tokens/builders.py
+++ b/tests/unit/tokens/builders.py
@@ -6,7 +6,7 @@
 from beamloom.node.token_core import TokenCore
 from beamloom.replication.fleet_share import FleetShare
 from beamloom.replication.peer_table import PeerTable
-from beamloom.replication.reading_times import evacuation_reading_times, reading_times
+from beamloom.replication.store_call_times import evacuation_store_call_times, store_call_times
 from beamloom.replication.store_view import NamedRecord, ObjectChange
 from beamloom.routing.tokens.decisions import Decision
 from beamloom.routing.tokens.packets import (
@@ -153,14 +153,14 @@
     """Return a core that has just started; with `evacuate_seconds`, it follows evacuations."""
     evacuation_times = None
     if evacuate_seconds is not None:
-        evacuation_times = evacuation_reading_times(evacuate_seconds)
+        evacuation_times = evacuation_store_call_times(evacuate_seconds)
     return TokenCore(
         ZONE,
         "5-node",
         "main",
         QuietObserver(),
         chance=random.Random(1),
-        times=reading_times(),
+        times=store_call_times(),
         mechanisms=mechanisms,
         evacuation_times=evacuation_times,
         cold_starts=cold_starts,
--- a/tests/unit/tokens/test_backend_lives.py
+++ b/tests/unit/tokens/test_backend_restarts.py
@@ -227,8 +227,8 @@
         self.apply(core, 2, 21, live)
         self.apply(core, 2, 22, backend(3))
         core.advance(NOW)
-        core.advance(NOW + BackendOrder().settle_seconds + 0.25)
-        self.assertFalse(core.backends.keeps_words)
+        core.advance(NOW + BackendOrder().retention_seconds + 0.25)
+        self.assertFalse(core.backends.has_retained_records)
         found = core.router.backends.find(live.name)
         assert found is not None
         self.assertFalse(found.ended)
--- a/tests/unit/tokens/test_evacuation.py
+++ b/tests/unit/tokens/test_evacuation.py
@@ -7,8 +7,8 @@
 from beamloom.node.evacuation_follower import EvacuationFollower
 from beamloom.protocol.view_messages import ViewDigest
 from beamloom.replication.object_watch import ChangeBatch, ListPage, ListRequest, WatchRequest
-from beamloom.replication.reader_duty import ReaderDuty
-from beamloom.replication.reading_times import evacuation_reading_times, reading_times
+from beamloom.replication.reader_role import ReaderRole
+from beamloom.replication.store_call_times import evacuation_store_call_times, store_call_times
 from beamloom.replication.store_view import NamedRecord, ObjectChange
 from beamloom.routing.tokens.packets import PacketKind, RefusalReason, ResetFlow
 from beamloom.routing.tokens.records import ZoneEvacuation
@@ -29,9 +29,9 @@
 
 def make_follower(**options: object) -> EvacuationFollower:
     rng = random.Random(1)
-    duty = ReaderDuty("5", rng, reading_times())
-    times = evacuation_reading_times(BOUND_SECONDS)
-    return EvacuationFollower(duty, rng, times, **options)  # type: ignore[arg-type]
+    role = ReaderRole("5", rng, store_call_times())
+    times = evacuation_store_call_times(BOUND_SECONDS)
+    return EvacuationFollower(role, rng, times, **options)  # type: ignore[arg-type]
 
 
 def evacuation(zone: str, revision: int = 7) -> ObjectChange[ZoneEvacuation]:
@@ -133,31 +133,31 @@
 
 class StartTest(unittest.TestCase):
     def test_starting_node_waits_for_its_peers_before_it_lists(self) -> None:
-        turn = make_follower().turn
-        times = evacuation_reading_times(BOUND_SECONDS)
-        self.assertFalse(turn.must_ask(START))
-        self.assertFalse(turn.must_ask(START + times.unconfirmed_seconds - 0.01))
-        self.assertTrue(turn.must_ask(START + times.unconfirmed_seconds + 0.31))
+        schedule = make_follower().schedule
+        times = evacuation_store_call_times(BOUND_SECONDS)
+        self.assertFalse(schedule.must_ask(START))
+        self.assertFalse(schedule.must_ask(START + times.unconfirmed_seconds - 0.01))
+        self.assertTrue(schedule.must_ask(START + times.unconfirmed_seconds + 0.31))
 
     def test_node_without_evacuations_from_peers_lists_at_once(self) -> None:
         off = mechanisms_without("evacuations_from_peers")
-        self.assertTrue(make_follower(mechanisms=off).turn.must_ask(START))
+        self.assertTrue(make_follower(mechanisms=off).schedule.must_ask(START))
 
     def test_seed_lists_at_once_and_not_stale(self) -> None:
         """Starting nodes ask the seeds first, and stale lists are not passed on to peers."""
         seed = make_follower(is_seed=True)
-        self.assertTrue(seed.turn.must_ask(START))
+        self.assertTrue(seed.schedule.must_ask(START))
         self.assertEqual(seed.watch.next_request(), ListRequest("", stale=False))
 
     def test_lost_history_requires_a_list_at_once(self) -> None:
         follower = make_follower()
         follower.watch.take_page(ListPage((), False, 9, ""), asked_at=START)
         follower.watch.take_lost_history()
-        self.assertTrue(follower.turn.must_ask(START))
+        self.assertTrue(follower.schedule.must_ask(START))
 
     def test_nodes_learn_within_the_bound_after_all_readers_fail(self) -> None:
         """The longest staleness, its random spread, a tick and a call fit into the bound."""
-        times = evacuation_reading_times(BOUND_SECONDS)
+        times = evacuation_store_call_times(BOUND_SECONDS)
         self.assertLessEqual(times.stale_seconds + 0.3 + 0.25 + 0.4, BOUND_SECONDS)
         self.assertLess(times.wait_seconds, times.stale_seconds)
 
--- a/tests/unit/tokens/test_mechanisms.py
+++ b/tests/unit/tokens/test_mechanisms.py
@@ -7,10 +7,10 @@
 
 from beamloom.node.view_codecs import ConfigurationCodec
 from beamloom.protocol.view_messages import NEVER, ViewDigest, ViewRequest
-from beamloom.replication.reader_duty import ReaderDuty
-from beamloom.replication.reading_times import reading_times
+from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.shared_view import SharedView
 from beamloom.replication.stop_turns import HESITATION_SECONDS, StopState
+from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.store_view import StoreView
 from beamloom.replication.view_transfer import pack
 from beamloom.routing.tokens.answer_pace import MIN_SAMPLES
@@ -213,22 +213,22 @@
 
 
 def few_readers(mechanisms: Mechanisms) -> object:
-    duty = ReaderDuty("5", random.Random(1), reading_times(), mechanisms)
+    role = ReaderRole("5", random.Random(1), store_call_times(), mechanisms)
     for reader in ("1", "2"):
-        duty.note_reader(reader, NOW)
-    duty.advance(NOW)
-    return duty.reading
+        role.note_reader(reader, NOW)
+    role.advance(NOW)
+    return role.reading
 
 
 def shared_kinds(mechanisms: Mechanisms) -> object:
-    duty = ReaderDuty("5", random.Random(1), reading_times(), mechanisms)
-    duty.reading = True
-    duty.note_reader("1", NOW)
-    return [duty.reads(kind) for kind in (0, 1)]
+    role = ReaderRole("5", random.Random(1), store_call_times(), mechanisms)
+    role.reading = True
+    role.note_reader("1", NOW)
+    return [role.reads(kind) for kind in (0, 1)]
 
 
 def gathering(mechanisms: Mechanisms) -> object:
-    return reading_times(mechanisms=mechanisms).gather_seconds > 0
+    return store_call_times(mechanisms=mechanisms).gather_seconds > 0
 
 
 def stale_start(mechanisms: Mechanisms) -> object:
@@ -238,7 +238,7 @@
 def evacuations_from_peers(mechanisms: Mechanisms) -> object:
     evacuations = new_core(mechanisms, evacuate_seconds=5.0).evacuations
     assert evacuations is not None
-    return evacuations.turn.must_ask(NOW)
+    return evacuations.schedule.must_ask(NOW)
 
 
 def early_confirmation(mechanisms: Mechanisms) -> object:
@@ -249,7 +249,7 @@
         view,  # type: ignore[arg-type]
         codec,
         lambda changes: None,
-        late_seconds=reading_times().late_seconds,
+        late_seconds=store_call_times().late_seconds,
         confirms_early=mechanisms.early_confirmation,
     )
     shared.note_ahead(7, NOW)
--- a/tests/unit/tokens/test_own_limits.py
+++ b/tests/unit/tokens/test_own_limits.py
@@ -99,14 +99,14 @@
         self.assertIn(ViewPart, self.answers())
 
     def test_reader_steps_down_only_if_there_is_another(self) -> None:
-        duty = self.core.duty
-        duty.reading = True
+        role = self.core.role
+        role.reading = True
         self.core.use_limits(ROLES_SHED, SERVING, "processor", 0.8)
-        duty.advance(NOW)
-        self.assertTrue(duty.reading)
-        duty.note_reader("9-other", NOW)
-        duty.advance(NOW)
-        self.assertFalse(duty.reading)
+        role.advance(NOW)
+        self.assertTrue(role.reading)
+        role.note_reader("9-other", NOW)
+        role.advance(NOW)
+        self.assertFalse(role.reading)
 
     def test_shedding_node_announces_the_least_capacity(self) -> None:
         self.core.use_limits(ROLES_SHED, SERVING, "processor", 0.8)
--- a/tests/unit/tokens/test_token_core.py
+++ b/tests/unit/tokens/test_token_core.py
@@ -12,7 +12,7 @@
 )
 from beamloom.protocol.view_messages import ViewDigest
 from beamloom.replication.object_watch import ChangeBatch, ListPage, ListRequest
-from beamloom.replication.reading_times import reading_times
+from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.store_view import NamedRecord
 from beamloom.routing.tokens.packets import (
     DropPacket,
@@ -98,7 +98,7 @@
 class StartTest(unittest.TestCase):
     def test_first_list_of_backends_is_not_stale(self) -> None:
         """After a store outage a stale list may hold only a few of the backends."""
-        times, observer = reading_times(), QuietObserver()
+        times, observer = store_call_times(), QuietObserver()
         core = TokenCore(ZONE, "5-node", "main", observer, chance=random.Random(1), times=times)
         self.assertEqual(core.backend_watch.next_request(), ListRequest(""))
         self.assertEqual(core.configuration_watch.next_request(), ListRequest("", stale=True))
--- a/tests/unit/views/exchange_network.py
+++ b/tests/unit/views/exchange_network.py
@@ -7,9 +7,9 @@
 from beamloom.protocol.messages import Message
 from beamloom.protocol.view_messages import ViewPart
 from beamloom.replication.peer_table import PeerTable
-from beamloom.replication.reader_duty import ReaderDuty
-from beamloom.replication.reading_times import reading_times
+from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.shared_view import SharedView
+from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.store_view import NamedRecord, ObjectChange, StoreView
 from beamloom.replication.view_exchange import ViewExchange
 from beamloom.routing.tokens.configuration_history import ConfigurationHistory
@@ -17,7 +17,7 @@
 
 STEP_SECONDS = 0.05
 DELAY_SECONDS = 0.003
-LATE_SECONDS = reading_times().late_seconds
+LATE_SECONDS = store_call_times().late_seconds
 MOST_HOPS = 8
 """Bounds the error of a confirmation's age, which does not include the time in transit."""
 
@@ -39,7 +39,7 @@
             ),
         )
         peers = PeerTable(host, seeds, rng)
-        self.exchange = ViewExchange(views, peers, ReaderDuty(host, rng, reading_times()), rng)
+        self.exchange = ViewExchange(views, peers, ReaderRole(host, rng, store_call_times()), rng)
 
     def take(self, changes: tuple[ObjectChange[BackendRecord], ...]) -> None:
         self.changed_names += [change.name for change in changes]
--- a/tests/unit/views/test_object_watch.py
+++ b/tests/unit/views/test_object_watch.py
@@ -15,7 +15,7 @@
     OlderAnswerError,
     WatchRequest,
 )
-from beamloom.replication.reading_times import LONGEST_PAUSE_SECONDS
+from beamloom.replication.store_call_times import LONGEST_PAUSE_SECONDS
 from beamloom.replication.store_view import NamedRecord, ObjectChange, StoreView
 from beamloom.routing.tokens.records import BackendRecord, BackendState
 from tests.unit.tokens.builders import backend
@@ -246,7 +246,7 @@
         changed = self.take_list(20, self.ready, backend(3))
         self.assertEqual(changed, [backend(3).name, backend(2).name])
         self.assertEqual(self.view.revision, revision_in_era(1, 20))
-        self.assertTrue(self.view.keeps_words)
+        self.assertTrue(self.view.has_retained_records)
         self.assertEqual(self.watch.next_request(), WatchRequest(revision_in_era(1, 20)))
 
     def test_after_a_failed_call_it_is_listed(self) -> None:
--- a/tests/unit/views/test_reader_duty.py
+++ b/tests/unit/views/test_reader_role.py
@@ -3,19 +3,19 @@
 import random
 import unittest
 
-from beamloom.replication.reader_duty import (
-    LISTENING_SECONDS,
-    LONGEST_HESITATION_SECONDS,
+from beamloom.replication.reader_role import (
     LONGEST_JOIN_SECONDS,
+    MAXIMUM_START_DELAY_SECONDS,
+    READER_DISCOVERY_SECONDS,
     TARGET_READERS,
-    ReaderDuty,
+    ReaderRole,
     reader_id_of,
 )
-from beamloom.replication.reading_times import (
-    CALL_PATIENCE_SECONDS,
+from beamloom.replication.store_call_times import (
+    CALL_TIMEOUT_SECONDS,
     LONGEST_PAUSE_SECONDS,
     STALE_SPREAD_SECONDS,
-    reading_times,
+    store_call_times,
 )
 
 STEP_SECONDS = 0.25
@@ -28,8 +28,8 @@
     def __init__(self, count: int, seed: int) -> None:
         rng = random.Random(seed)
         self.now = 0.0
-        self.duties = {
-            f"{number:04x}": ReaderDuty(f"{number:04x}", rng, reading_times())
+        self.roles = {
+            f"{number:04x}": ReaderRole(f"{number:04x}", rng, store_call_times())
             for number in range(count)
         }
 
@@ -37,28 +37,28 @@
         end = self.now + seconds
         while self.now < end:
             self.now += STEP_SECONDS
-            for duty in self.duties.values():
-                duty.advance(self.now)
+            for role in self.roles.values():
+                role.advance(self.now)
             for name in self.readers:
-                self.duties[name].note_answer(self.now)
-                for duty in self.duties.values():
-                    duty.note_reader(name, self.now - DELAY_SECONDS)
+                self.roles[name].note_answer(self.now)
+                for role in self.roles.values():
+                    role.note_reader(name, self.now - DELAY_SECONDS)
 
     @property
     def readers(self) -> list[str]:
-        return [name for name, duty in self.duties.items() if duty.reading]
+        return [name for name, role in self.roles.items() if role.reading]
 
 
 class ReaderDutyTest(unittest.TestCase):
     def test_times_keep_their_bounds(self) -> None:
         for bound, contact in ((3.0, 4.0), (2.5, 4.0), (2.0, 3.0), (10.0, 20.0), (1.5, 2.5)):
             with self.subTest(bound=bound, contact=contact):
-                times = reading_times(bound, contact)
+                times = store_call_times(bound, contact)
                 self.assertGreater(times.silence_seconds, times.wait_seconds)
                 self.assertGreater(times.stale_seconds, times.wait_seconds)
-                latest = times.stale_seconds + STALE_SPREAD_SECONDS + CALL_PATIENCE_SECONDS
+                latest = times.stale_seconds + STALE_SPREAD_SECONDS + CALL_TIMEOUT_SECONDS
                 self.assertLessEqual(latest, bound + 1e-9)
-                hanging = times.wait_seconds + 2 * CALL_PATIENCE_SECONDS + LONGEST_PAUSE_SECONDS
+                hanging = times.wait_seconds + 2 * CALL_TIMEOUT_SECONDS + LONGEST_PAUSE_SECONDS
                 self.assertLessEqual(hanging, contact + 1e-9)
 
     def test_a_fleet_converges_on_the_target(self) -> None:
@@ -70,80 +70,82 @@
 
     def test_a_single_node_reads(self) -> None:
         fleet = Fleet(1, seed=1)
-        fleet.run(LISTENING_SECONDS + LONGEST_HESITATION_SECONDS + 2 * STEP_SECONDS)
+        fleet.run(READER_DISCOVERY_SECONDS + MAXIMUM_START_DELAY_SECONDS + 2 * STEP_SECONDS)
         self.assertEqual(len(fleet.readers), 1)
 
     def test_lost_readers_are_replaced(self) -> None:
         fleet = Fleet(10, seed=3)
         fleet.run(5.0)
         for name in fleet.readers:
-            del fleet.duties[name]
-        fleet.run(reading_times().silence_seconds + LONGEST_HESITATION_SECONDS + 3 * STEP_SECONDS)
+            del fleet.roles[name]
+        fleet.run(
+            store_call_times().silence_seconds + MAXIMUM_START_DELAY_SECONDS + 3 * STEP_SECONDS
+        )
         self.assertGreaterEqual(len(fleet.readers), 1)
         fleet.run(5.0)
         self.assertEqual(len(fleet.readers), TARGET_READERS)
 
     def test_extra_readers_step_down(self) -> None:
         fleet = Fleet(10, seed=4)
-        for duty in fleet.duties.values():
-            duty.reading = True
+        for role in fleet.roles.values():
+            role.reading = True
         fleet.run(3.0)
         self.assertEqual(len(fleet.readers), TARGET_READERS)
 
     def test_a_node_that_called_the_store_once_is_no_reader(self) -> None:
         """Such a node must not keep others from becoming readers."""
-        duty = ReaderDuty("5", random.Random(1), reading_times())
-        duty.note_answer(10.0)
-        self.assertEqual(duty.recent(10.1), {})
+        role = ReaderRole("5", random.Random(1), store_call_times())
+        role.note_answer(10.0)
+        self.assertEqual(role.recent(10.1), {})
 
     def test_an_outdated_report_does_not_age_a_reader(self) -> None:
-        duty = ReaderDuty("5", random.Random(1), reading_times())
-        duty.note_reader("1", 10.0)
-        duty.note_reader("1", 9.0)
-        self.assertEqual(duty.recent(10.5), {"1": 10.0})
+        role = ReaderRole("5", random.Random(1), store_call_times())
+        role.note_reader("1", 10.0)
+        role.note_reader("1", 9.0)
+        self.assertEqual(role.recent(10.5), {"1": 10.0})
 
     def test_a_starting_node_listens_before_it_reads(self) -> None:
         """Starting nodes must not become readers briefly in a fleet that has readers."""
         fleet = Fleet(10, seed=5)
         fleet.run(5.0)
-        starting = ReaderDuty("0000x", random.Random(2), reading_times())
+        starting = ReaderRole("0000x", random.Random(2), store_call_times())
         moment = fleet.now
-        while fleet.now < moment + LISTENING_SECONDS - STEP_SECONDS:
+        while fleet.now < moment + READER_DISCOVERY_SECONDS - STEP_SECONDS:
             fleet.run(STEP_SECONDS)
             self.assertFalse(starting.advance(fleet.now))
 
     def test_a_node_that_has_not_joined_waits_before_it_reads(self) -> None:
         """The listening time must not pass before a node can receive digests."""
-        duty = ReaderDuty("5", random.Random(3), reading_times())
+        role = ReaderRole("5", random.Random(3), store_call_times())
         now = 1.0
         while now < 1.0 + LONGEST_JOIN_SECONDS:
-            self.assertFalse(duty.advance(now, joined=False))
+            self.assertFalse(role.advance(now, joined=False))
             now += STEP_SECONDS
-        while not duty.reading:
-            duty.advance(now, joined=False)
+        while not role.reading:
+            role.advance(now, joined=False)
             now += STEP_SECONDS
-        latest = LONGEST_JOIN_SECONDS + LISTENING_SECONDS + LONGEST_HESITATION_SECONDS
+        latest = LONGEST_JOIN_SECONDS + READER_DISCOVERY_SECONDS + MAXIMUM_START_DELAY_SECONDS
         self.assertLess(now, 1.0 + latest + 3 * STEP_SECONDS)
 
     def test_a_former_reader_does_not_count_itself(self) -> None:
-        times = reading_times()
-        duty = ReaderDuty("5", random.Random(1), times)
-        duty.reading = True
-        duty.note_answer(1.0)
-        duty.note_reader("1", -1.0)
-        duty.note_reader("2", 1.0)
-        duty.advance(1.1)
-        self.assertFalse(duty.reading)
+        times = store_call_times()
+        role = ReaderRole("5", random.Random(1), times)
+        role.reading = True
+        role.note_answer(1.0)
+        role.note_reader("1", -1.0)
+        role.note_reader("2", 1.0)
+        role.advance(1.1)
+        self.assertFalse(role.reading)
         now = 1.1
-        while not duty.reading:
+        while not role.reading:
             now += STEP_SECONDS
-            duty.note_reader("2", now)
-            duty.advance(now)
+            role.note_reader("2", now)
+            role.advance(now)
         self.assertLess(now, 1.0 + times.silence_seconds)
 
     def test_note_reader_is_true_for_new_readers_with_lowest_ids(self) -> None:
-        duty = ReaderDuty("5", random.Random(1), reading_times())
-        results = [duty.note_reader(name, 1.0) for name in ("7", "7", "3", "9", "1")]
+        role = ReaderRole("5", random.Random(1), store_call_times())
+        results = [role.note_reader(name, 1.0) for name in ("7", "7", "3", "9", "1")]
         self.assertEqual(results, [True, False, True, False, True])
 
 
@@ -164,10 +166,10 @@
         rng = random.Random(7)
         names = [reader_id_of(0.07, 10.0, f"{number:04x}") for number in range(26)]
         names += [reader_id_of(2.0, 200.0, f"{number:04x}") for number in range(4)]
-        fleet.duties = {name: ReaderDuty(name, rng, reading_times()) for name in names}
+        fleet.roles = {name: ReaderRole(name, rng, store_call_times()) for name in names}
         fleet.run(10.0)
         self.assertEqual({name[0] for name in fleet.readers}, {names[-1][0]})
         for name in fleet.readers:
-            del fleet.duties[name]
+            del fleet.roles[name]
         fleet.run(10.0)
         self.assertEqual({name[0] for name in fleet.readers}, {names[-1][0]})
--- a/tests/unit/views/test_restored_views.py
+++ b/tests/unit/views/test_restored_views.py
@@ -11,8 +11,8 @@
     ConfigurationOrder,
     EvacuationOrder,
 )
-from beamloom.replication.kept_words import KeptWords
 from beamloom.replication.record_order import UNMARKED
+from beamloom.replication.retention_timer import RetentionTimer
 from beamloom.replication.store_view import (
     EVERYTHING,
     NamedRecord,
@@ -43,7 +43,7 @@
         self.order = BackendOrder(heartbeat_seconds=1.0)
         self.view = StoreView(self.order)
         self.settled: list[tuple[str, str | None]] = []
-        self.retention = KeptWords(
+        self.retention = RetentionTimer(
             self.view, lambda changes, now: self.settled.extend(states(changes))
         )
         self.ready = backend(1)._replace(sequence=4)
@@ -58,14 +58,14 @@
     def test_a_draining_state_missing_from_the_copy_is_retained(self) -> None:
         self.list(1, 30, self.draining, self.other)
         self.assertEqual(self.list(2, 20, self.ready, self.other), [])
-        self.assertTrue(self.view.keeps_words)
+        self.assertTrue(self.view.has_retained_records)
 
     def test_a_write_after_the_restore_takes_effect_at_once(self) -> None:
         self.list(1, 30, self.draining)
         self.list(2, 20, self.ready)
         again = ObjectChange(self.ready.name, revision_in_era(2, 21), self.draining)
         self.assertEqual(self.view.apply([again], revision_in_era(2, 21)), ())
-        self.assertFalse(self.view.keeps_words)
+        self.assertFalse(self.view.has_retained_records)
         gone = ObjectChange(self.ready.name, revision_in_era(2, 22), None)
         self.assertEqual(
             states(self.view.apply([gone], revision_in_era(2, 22))), [(self.ready.name, None)]
@@ -75,11 +75,11 @@
         self.list(1, 30, self.draining)
         self.list(2, 20, self.ready)
         self.retention.advance(100.0)
-        self.retention.advance(100.0 + self.order.settle_seconds - 0.01)
+        self.retention.advance(100.0 + self.order.retention_seconds - 0.01)
         self.assertEqual(self.settled, [])
-        self.retention.advance(100.0 + self.order.settle_seconds)
+        self.retention.advance(100.0 + self.order.retention_seconds)
         self.assertEqual(self.settled, [(self.ready.name, "ready")])
-        self.assertFalse(self.view.keeps_words)
+        self.assertFalse(self.view.has_retained_records)
 
     def test_another_restore_restarts_the_retention_time(self) -> None:
         self.list(1, 30, self.draining)
@@ -87,7 +87,7 @@
         self.retention.advance(100.0)
         self.assertEqual(self.list(3, 18, self.ready), [])
         self.retention.advance(103.0)
-        self.retention.advance(103.0 + self.order.settle_seconds - 0.01)
+        self.retention.advance(103.0 + self.order.retention_seconds - 0.01)
         self.assertEqual(self.settled, [])
 
     def test_a_removed_backend_in_the_copy_is_used_only_after_the_retention_time(self) -> None:
@@ -95,7 +95,7 @@
         self.list(1, 31, self.other)
         self.assertEqual(self.list(2, 20, self.ready, self.other), [])
         self.retention.advance(0.0)
-        self.retention.advance(self.order.settle_seconds)
+        self.retention.advance(self.order.retention_seconds)
         self.assertEqual(self.settled, [(self.ready.name, "ready")])
 
     def test_a_removed_backend_that_leaves_the_copy_is_never_used(self) -> None:
@@ -222,7 +222,7 @@
         self.order = EvacuationOrder()
         self.view: StoreView[ZoneEvacuation] = StoreView(self.order)
         self.settled: list[tuple[str, bool]] = []
-        self.retention = KeptWords(self.view, self.settle)
+        self.retention = RetentionTimer(self.view, self.settle)
 
     def settle(self, changes: tuple[ObjectChange[ZoneEvacuation], ...], _now: float) -> None:
         self.settled += [(change.name, change.record is not None) for change in changes]
@@ -236,7 +236,7 @@
         self.list(1, 30, "west")
         self.assertEqual(self.list(2, 20), [])
         self.retention.advance(0.0)
-        self.retention.advance(self.order.settle_seconds)
+        self.retention.advance(self.order.retention_seconds)
         self.assertEqual(self.settled, [("west", False)])
 
     def test_a_removed_evacuation_in_the_copy_has_no_effect(self) -> None:
@@ -246,7 +246,7 @@
         removed: ObjectChange[ZoneEvacuation] = ObjectChange("west", revision_in_era(2, 21), None)
         self.assertEqual(self.view.apply([removed], removed.revision), ())
         self.retention.advance(0.0)
-        self.retention.advance(self.order.settle_seconds)
+        self.retention.advance(self.order.retention_seconds)
         self.assertEqual(self.settled, [])
 
 
--- a/tests/unit/views/test_store_reader.py
+++ b/tests/unit/views/test_store_reader.py
@@ -54,12 +54,12 @@
     async def read(self, *script: CallFailure | None) -> tuple[_ScriptedConnection, list[str]]:
         """Play a script to a reader; return the connection, and the failures it told."""
         core = new_core()
-        core.duty.reading = True
+        core.role.reading = True
         connection = _ScriptedConnection(script)
-        reader = StoreReader(core.backend_watch, BACKENDS, connection, core.backend_turn)
+        reader = StoreReader(core.backend_watch, BACKENDS, connection, core.backend_schedule)
         failures: list[str] = []
         reader.on_failure = lambda reason, count: failures.append(reason)
-        reader.on_answer = lambda changes: core.duty.note_answer(asyncio.get_running_loop().time())
+        reader.on_answer = lambda changes: core.role.note_answer(asyncio.get_running_loop().time())
         task = asyncio.create_task(reader.run())
         try:
             await asyncio.wait_for(connection.over.wait(), LONGEST_SECONDS)
@@ -90,9 +90,9 @@
 
     async def test_a_new_era_of_the_store_is_told_once(self) -> None:
         core = new_core()
-        core.duty.reading = True
+        core.role.reading = True
         connection = _ScriptedConnection((None, None, None))
-        reader = StoreReader(core.backend_watch, BACKENDS, connection, core.backend_turn)
+        reader = StoreReader(core.backend_watch, BACKENDS, connection, core.backend_schedule)
         eras: list[int] = []
         reader.on_era = eras.append
         task = asyncio.create_task(reader.run())
--- a/tools/soak_broken_builds.py
+++ b/tools/soak_broken_builds.py
@@ -68,26 +68,26 @@
 """
 NEVER_STALE = """
 def trust(module):
-    module.ReadingTurn._is_stale = lambda *_: False
-patch("beamloom.replication.reading_turn", trust)
+    module.StoreCallSchedule._is_stale = lambda *_: False
+patch("beamloom.replication.store_call_schedule", trust)
 """
 FIRST_READERS_ONLY = """
 def change(module):
-    advance = module.ReaderDuty.advance
-    def fixed(duty, now, *, joined=True):
-        if now - duty.__dict__.setdefault("first_at", now) > 4.0:
+    advance = module.ReaderRole.advance
+    def fixed(role, now, *, joined=True):
+        if now - role.__dict__.setdefault("first_at", now) > 4.0:
             return False
-        return advance(duty, now, joined=joined)
-    module.ReaderDuty.advance = fixed
-patch("beamloom.replication.reader_duty", change)
+        return advance(role, now, joined=joined)
+    module.ReaderRole.advance = fixed
+patch("beamloom.replication.reader_role", change)
 """
 LARGE_READERS_ONLY = """
 def change(module):
-    advance = module.ReaderDuty.advance
-    def ranked(duty, now, *, joined=True):
-        return duty.reader_id < "6" and advance(duty, now, joined=joined)
-    module.ReaderDuty.advance = ranked
-patch("beamloom.replication.reader_duty", change)
+    advance = module.ReaderRole.advance
+    def ranked(role, now, *, joined=True):
+        return role.reader_id < "6" and advance(role, now, joined=joined)
+    module.ReaderRole.advance = ranked
+patch("beamloom.replication.reader_role", change)
 """
 DEAF_TO_STOPS = """
 import signal
