--- a/src/beamloom/runtime/backend_check.py
+++ b/src/beamloom/runtime/backend_check.py
@@ -14,7 +14,7 @@
 from beamloom.routing.tokens.liveness import CheckOutcome, LivenessChecks
 from beamloom.runtime.connection_limits import CHECK_ATTEMPT_SECONDS, CHECK_ATTEMPTS
 
-LATE_SECONDS = 0.03
+MAX_LOOP_DELAY_SECONDS = 0.03
 """A loop that is later than this may not have seen an answer that was there in time."""
 
 
@@ -28,14 +28,14 @@
         self._local_host = local_host
         self._on_done = on_done
         self._tasks: set[asyncio.Task[None]] = set()
-        checks.begin = self._begin
+        checks.begin = self._start
 
     def close(self) -> None:
         """Give up the checks under way."""
         for task in self._tasks:
             task.cancel()
 
-    def _begin(self, backend: Backend) -> None:
+    def _start(self, backend: Backend) -> None:
         task = asyncio.get_running_loop().create_task(self._check(backend))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -61,7 +61,11 @@
         async with asyncio.timeout_at(due):
             await loop.sock_connect(connection, address)
     except TimeoutError:
-        return CheckOutcome.SILENT if loop.time() - due < LATE_SECONDS else CheckOutcome.UNCLEAR
+        return (
+            CheckOutcome.SILENT
+            if loop.time() - due < MAX_LOOP_DELAY_SECONDS
+            else CheckOutcome.UNCLEAR
+        )
     except (ConnectionRefusedError, ConnectionResetError):
         return CheckOutcome.REFUSED
     except OSError:
--- a/src/beamloom/runtime/connection_limits.py
+++ b/src/beamloom/runtime/connection_limits.py
@@ -44,7 +44,7 @@
 """Scrapes come each 15 s as a rule, calls for readiness each 0.5 s."""
 REQUEST_SECONDS = 2.0
 """A request is one packet; repeated three times it is there by then."""
-UNREAD_SECONDS = 5.0
+UNREAD_ANSWER_SECONDS = 5.0
 """How long an answer may wait for a caller that does not read."""
 
 
@@ -77,7 +77,7 @@
     connections: int = MAXIMUM_CONNECTIONS
     idle_seconds: float = IDLE_SECONDS
     request_seconds: float = REQUEST_SECONDS
-    unread_seconds: float = UNREAD_SECONDS
+    unread_seconds: float = UNREAD_ANSWER_SECONDS
 
 
 SECRET_LIMITS = CallLimits(SECRET_SECONDS, PROGRESS_SHARE * SECRET_SECONDS)
--- a/src/beamloom/runtime/fleet_secret.py
+++ b/src/beamloom/runtime/fleet_secret.py
@@ -31,16 +31,16 @@
 
 ASK_PEERS_AFTER_SECONDS = 0.9
 """A store that has not answered by then may never do so."""
-ASK_PEERS_EACH_SECONDS = 0.3
+ASK_PEERS_INTERVAL_SECONDS = 0.3
 """A neighbour answers within a fraction of that, unless its answer was lost."""
-NOTICE_SECONDS = 0.02
+POLL_SECONDS = 0.02
 """How soon it is noticed that the store holds no secret: a part of MAKE_AFTER_SECONDS.
 """
 CHECK_SPREAD_SECONDS = 1.0
 """Not all nodes look in the same moment after a restore; readers, who notice it first, do at once.
 A node that starts meanwhile asks its neighbours.
 """
-MOST_SECRETS = 3
+MAX_SECRETS = 3
 """The one that holds, and those before it while flows of theirs may be open."""
 
 _FORMAT = SecretFormat(
@@ -64,7 +64,7 @@
         self,
         settings: TokenNodeSettings,
         duty: ReaderDuty,
-        chance: random.Random,
+        rng: random.Random,
         connection: HttpConnection,
         open_link: Callable[[], PeerLink | None],
         *,
@@ -75,7 +75,7 @@
         self.known: tuple[bytes, ...] = ()
         self.on_change: Callable[[], None] = lambda: None
         self._duty = duty
-        self._chance = chance
+        self._rng = rng
         self._connection = connection
         self._open_link = open_link
         self._decisions = decisions
@@ -84,11 +84,11 @@
         self._keeper: SecretKeeper | None = None
         self._from_peer: asyncio.Future[bytes] | None = None
         self._era: int | None = None
-        self._must_look = asyncio.Event()
+        self._check_needed = asyncio.Event()
 
     async def fetch(self) -> bool:
         """Get the secret from the store or from a neighbour; return whether the store told it."""
-        steps = SharedSecret(self._chance)
+        steps = SharedSecret(self._rng)
         first_start = self.settings.first_start
         store = asyncio.create_task(
             fetch_shared_secret(steps, self._connection, _FORMAT, first_start=first_start)
@@ -100,37 +100,37 @@
             store.cancel()
             peers.cancel()
             self._connection.close()
-        self._use(done.pop().result())
+        self._set_current(done.pop().result())
         from_peer = store not in done and self._from_peer is not None
         self._decisions.life("SecretKnown", source="peer" if from_peer else "store")
-        self._note_read(steps, from_peer=from_peer)
+        self._schedule_check(steps, from_peer=from_peer)
         return not from_peer
 
-    def _note_read(self, steps: SharedSecret, *, from_peer: bool) -> None:
+    def _schedule_check(self, steps: SharedSecret, *, from_peer: bool) -> None:
         """Look again where the store may not hold what was read, or what a neighbour told."""
         # A stale answer of a later era may be of what the store has lost since.
         is_old = steps.step is SecretStep.READ_STALE and steps.is_of_restored_store
         if is_old or (from_peer and steps.found_none):
-            self._must_look.set()
+            self._check_needed.set()
         if steps.era is not None:
             self.note_era(steps.era)
 
     async def keep(self) -> None:
         """Look after the secret in the store whenever that may have lost it; until cancelled."""
         while True:
-            await self._must_look.wait()
+            await self._check_needed.wait()
             if not self._duty.reading:
-                await asyncio.sleep(self._chance.uniform(0.0, CHECK_SPREAD_SECONDS))
-            self._must_look.clear()
-            await self._look()
+                await asyncio.sleep(self._rng.uniform(0.0, CHECK_SPREAD_SECONDS))
+            self._check_needed.clear()
+            await self._check_store()
 
     def note_era(self, era: int) -> None:
         """Take the newest era of the store that this node has heard of."""
         if self._era is not None and era > self._era:
-            self._must_look.set()
+            self._check_needed.set()
         self._era = era if self._era is None else max(era, self._era)
 
-    def begin_to_answer(self) -> None:
+    def start_answering(self) -> None:
         """Give the secret to members that ask for it, from now on."""
         from beamloom.replication.secret_exchange import SecretKeeper
 
@@ -145,33 +145,33 @@
         if self._keeper is not None:
             self._keeper.note_member(host, now)
 
-    def take_open(self, host: str, message: Message, now: float) -> None:
+    def handle_unsigned(self, host: str, message: Message, now: float) -> None:
         """Take a message of the exchange of the secret."""
         link = self._open_link() if self._keeper is not None else None
         if self._keeper is not None and link is not None:
             answer = self._keeper.answer(host, message, now)
             if answer is not None:
                 self._decisions.life("SecretGiven", host=host)
-                link.send_open(answer.host, answer.message)
+                link.send_unsigned(answer.host, answer.message)
         if self._seeker is not None and self._from_peer is not None:
             secret = self._seeker.take(host, message)
             if secret is not None and not self._from_peer.done():
                 self._from_peer.set_result(secret)
 
-    def _use(self, secret: bytes) -> None:
-        former = (known for known in self.known if known != secret)
-        self.known = (secret, *former)[:MOST_SECRETS]
+    def _set_current(self, secret: bytes) -> None:
+        older = (known for known in self.known if known != secret)
+        self.known = (secret, *older)[:MAX_SECRETS]
 
-    async def _look(self) -> None:
+    async def _check_store(self) -> None:
         """Read the secret that the store holds now, putting this node's there if it has none."""
-        steps = SharedSecret(self._chance, first_step=SecretStep.READ)
-        held = self.known[0]
+        steps = SharedSecret(self._rng, first_step=SecretStep.READ)
+        current = self.known[0]
         secret = await fetch_shared_secret(
-            steps, self._connection, _FORMAT, offered=held, pause=self._duty.shared_pause_seconds
+            steps, self._connection, _FORMAT, offered=current, pause=self._duty.shared_pause_seconds
         )
         self._connection.close()
-        if secret != held:
-            self._use(secret)
+        if secret != current:
+            self._set_current(secret)
             self._decisions.life("SecretChanged")
             self.on_change()
         elif steps.found_none:
@@ -183,7 +183,7 @@
             await asyncio.Event().wait()
         began = _now()
         while not (steps.failures or steps.found_none or _now() - began >= ASK_PEERS_AFTER_SECONDS):
-            await asyncio.sleep(NOTICE_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
         from beamloom.replication.secret_exchange import NONCE_BYTES, SecretSeeker
 
         self._seeker = SecretSeeker(os.urandom(NONCE_BYTES), KEY_BYTES)
@@ -192,8 +192,8 @@
             link = self._open_link()
             if link is not None:
                 for request in self._seeker.requests(self.settings.seeds):
-                    link.send_open(request.host, request.message)
-            await asyncio.wait({self._from_peer}, timeout=ASK_PEERS_EACH_SECONDS)
+                    link.send_unsigned(request.host, request.message)
+            await asyncio.wait({self._from_peer}, timeout=ASK_PEERS_INTERVAL_SECONDS)
         return self._from_peer.result()
 
 
--- a/src/beamloom/runtime/health_checks.py
+++ b/src/beamloom/runtime/health_checks.py
@@ -46,7 +46,7 @@
         self.counters: Counter[str] = Counter()
         self._deliver = deliver
         self._timeout = timeout_seconds
-        self._turns = asyncio.Semaphore(CONCURRENT_CHECKS)
+        self._slots = asyncio.Semaphore(CONCURRENT_CHECKS)
         self._tasks: dict[int, asyncio.Task[None]] = {}
         self._session: aiohttp.ClientSession | None = None
 
@@ -72,7 +72,7 @@
 
     async def _run(self, command: CheckBackend) -> None:
         try:
-            async with self._turns:
+            async with self._slots:
                 answer = await self._check(command)
             del self._tasks[command.backend_number]  # The answer may bring the next check.
             self._deliver(answer)
@@ -83,9 +83,9 @@
 
     async def _check(self, command: CheckBackend) -> BackendChecked:
         loop = asyncio.get_running_loop()
-        begin = loop.time()
+        started_at = loop.time()
         try:
-            answer = await self._ask(command)
+            answer = await self._request_health(command)
             self.counters["answered"] += 1
         except CHECK_ERRORS:
             answer = HealthAnswer(healthy=False)
@@ -95,10 +95,10 @@
             answer.healthy,
             answer.shedding or answer.draining,
             answer.load,
-            loop.time() - begin,
+            loop.time() - started_at,
         )
 
-    async def _ask(self, command: CheckBackend) -> HealthAnswer:
+    async def _request_health(self, command: CheckBackend) -> HealthAnswer:
         timeout = aiohttp.ClientTimeout(total=self._timeout)
         url = f"http://{command.health_address}/health"
         async with self._client().get(url, timeout=timeout, allow_redirects=False) as response:
--- a/src/beamloom/runtime/machine_list.py
+++ b/src/beamloom/runtime/machine_list.py
@@ -95,13 +95,13 @@
             await action()
         except PlatformError as error:
             self.counters[f"{name}_failed"] += 1
-            self._note(str(error))
+            self._log_reachability(str(error))
             return False
         self.counters[f"{name}_done"] += 1
-        self._note(None)
+        self._log_reachability(None)
         return True
 
-    def _note(self, failure: str | None) -> None:
+    def _log_reachability(self, failure: str | None) -> None:
         """Log a change between reachable and unreachable, once."""
         self.last_failure = failure
         before, after = self._state, "reachable" if failure is None else "unreachable"
--- a/src/beamloom/runtime/own_usage.py
+++ b/src/beamloom/runtime/own_usage.py
@@ -17,7 +17,7 @@
 """Of statm: the pages that are in memory (proc(5))."""
 PEER_LINK_SHARE = 0.1
 """Of the link, for what nodes tell each other; the rest is for clients' packets."""
-SLOW_SAMPLES = 5
+SLOW_SAMPLE_INTERVAL = 5
 """Memory and descriptors, which cost a few system calls, are looked at each fifth time."""
 
 
@@ -50,16 +50,16 @@
         peer_bytes = self._count_peer_bytes()
         before, self._sampled_at = self._sampled_at, now
         spent = processor_seconds - self._processor_seconds
-        moved = peer_bytes - self._peer_bytes
+        transferred = peer_bytes - self._peer_bytes
         self._processor_seconds, self._peer_bytes = processor_seconds, peer_bytes
-        if self._samples % SLOW_SAMPLES == 0:
+        if self._samples % SLOW_SAMPLE_INTERVAL == 0:
             self._memory = self._share("memory_megabytes", self._read(_resident_megabytes))
             self._descriptors = self._share("descriptors", self._read(_open_descriptors))
         self._samples += 1
         if before is None or now <= before:
             return Usage(None, None, self._memory, self._descriptors)
         seconds = now - before
-        megabits = moved / seconds / BYTES_PER_MEGABIT / PEER_LINK_SHARE
+        megabits = transferred / seconds / BYTES_PER_MEGABIT / PEER_LINK_SHARE
         return Usage(
             self._share("cores", spent / seconds),
             self._share("link_megabits", megabits),
--- a/src/beamloom/runtime/peer_link.py
+++ b/src/beamloom/runtime/peer_link.py
@@ -20,9 +20,9 @@
 from beamloom.runtime.datagrams import DatagramSocket
 from beamloom.units import MILLISECONDS
 
-OPEN_KEYS = KeyRing((OPEN_KEY,))
+UNSIGNED_KEYS = KeyRing((OPEN_KEY,))
 
-Received = Callable[[str, Message], None]
+MessageHandler = Callable[[str, Message], None]
 
 
 class PeerLink:
@@ -32,20 +32,25 @@
     """
 
     def __init__(
-        self, host: str, port: int, sender: str, received: Received, received_open: Received
+        self,
+        host: str,
+        port: int,
+        sender: str,
+        on_message: MessageHandler,
+        on_unsigned: MessageHandler,
     ) -> None:
         self.counters: Counter[str] = Counter()
         self.sent_bytes: Counter[str] = Counter()
         self._port = port
         self._sender = NodeId(sender)
         self._keys: KeyRing | None = None
-        self._guard = ReplayGuard()
-        self._received = received
-        self._received_open = received_open
+        self._replay_guard = ReplayGuard()
+        self._on_message = on_message
+        self._on_unsigned = on_unsigned
         self._sequence = 0
         self._loop = asyncio.get_running_loop()
         self._socket = DatagramSocket(SocketAddress(host, port))
-        self._socket.listen(self._take)
+        self._socket.listen(self._handle_datagram)
 
     def use_keys(self, keys: tuple[bytes, ...]) -> None:
         """Sign with the first key, and take what is signed with any, from now on."""
@@ -58,9 +63,9 @@
         else:
             self._send(self._keys, host, message)
 
-    def send_open(self, host: str, message: Message) -> None:
+    def send_unsigned(self, host: str, message: Message) -> None:
         """Send a message that nobody signs."""
-        self._send(OPEN_KEYS, host, message)
+        self._send(UNSIGNED_KEYS, host, message)
 
     def close(self) -> None:
         """Stop receiving."""
@@ -81,11 +86,11 @@
         self.counters["sent_bytes"] += len(data)
         self.sent_bytes[type(message).__name__] += len(data)
 
-    def _take(self, data: bytes, source: SocketAddress) -> None:
+    def _handle_datagram(self, data: bytes, source: SocketAddress) -> None:
         try:
-            envelope = self._take_signed(data)
+            envelope = self._decode_signed(data)
         except AuthenticationError as error:
-            if not self._take_open(data, source[0]):
+            if not self._handle_unsigned(data, source[0]):
                 self.counters[f"refused_{error.reason}"] += 1
             return
         except ProtocolError as error:
@@ -94,23 +99,23 @@
         self.counters["received"] += 1
         self.counters["received_bytes"] += len(data)
         for message in envelope.messages:
-            self._received(source[0], message)
+            self._on_message(source[0], message)
 
-    def _take_signed(self, data: bytes) -> Envelope:
+    def _decode_signed(self, data: bytes) -> Envelope:
         if self._keys is None:
             raise AuthenticationError("the fleet's secret is not known yet; read it first")
         envelope = decode_datagram(self._keys, data)
-        self._guard.check(envelope.sender, envelope.sequence)
+        self._replay_guard.check(envelope.sender, envelope.sequence)
         return envelope
 
-    def _take_open(self, data: bytes, host: str) -> bool:
+    def _handle_unsigned(self, data: bytes, host: str) -> bool:
         """Take an unsigned datagram; return whether it is one."""
         try:
-            envelope = decode_datagram(OPEN_KEYS, data)
+            envelope = decode_datagram(UNSIGNED_KEYS, data)
         except ProtocolError:
             return False
         self.counters["received_open"] += 1
         for message in envelope.messages:
             if isinstance(message, SecretRequest | SecretAnswer):
-                self._received_open(host, message)
+                self._on_unsigned(host, message)
         return True
--- a/src/beamloom/runtime/planned_stop.py
+++ b/src/beamloom/runtime/planned_stop.py
@@ -19,8 +19,8 @@
 """Packets that were under way when the routers turned away."""
 LONGEST_FORWARD_SECONDS = 2.5
 """How long to forward where nobody asks."""
-SHARE_FOR_TURN = 0.4
-SHARE_FOR_FORWARDING = 0.5
+TURN_WAIT_FRACTION = 0.4
+FORWARDING_FRACTION = 0.5
 """How much of the time until the node is killed may go by waiting and by forwarding. Routers must
 have turned away within two thirds of it (docs/QUESTIONS.md).
 """
@@ -37,42 +37,42 @@
     def __init__(
         self,
         grace_seconds: float,
-        may_go: Callable[[], bool],
+        is_turn: Callable[[], bool],
         on_away: Callable[[], None],
         *,
         forwards: bool = True,
     ) -> None:
         self._forwards = forwards
         self.away = False
-        self._may_go = may_go
+        self._is_turn = is_turn
         self._on_away = on_away
-        self._turn_seconds = SHARE_FOR_TURN * grace_seconds
-        forward_seconds = SHARE_FOR_FORWARDING * grace_seconds
+        self._turn_seconds = TURN_WAIT_FRACTION * grace_seconds
+        forward_seconds = FORWARDING_FRACTION * grace_seconds
         self._forward_seconds = min(LONGEST_FORWARD_SECONDS, forward_seconds)
-        self._asked = asyncio.Event()
-        self._turned_away = asyncio.Event()
+        self._requested = asyncio.Event()
+        self._routers_left = asyncio.Event()
         self._misses = 0
         self._missed_at = float("-inf")
 
-    def ask(self, *, in_use: bool = True) -> None:
+    def request(self, *, in_use: bool = True) -> None:
         """Note that the node was asked to stop; one that is not `in_use` was never ready."""
         if not in_use:
             self._forwards = False
             self._turn_seconds = 0.0
-        self._asked.set()
+        self._requested.set()
 
-    def note_miss(self, now: float) -> None:
+    def record_miss(self, now: float) -> None:
         """Note that a router was told that the node is not ready."""
         if not self.away or now - self._missed_at < SHORTEST_PROBE_GAP_SECONDS:
             return
         self._missed_at = now
         self._misses += 1
         if self._misses >= MISSES_NEEDED:
-            self._turned_away.set()
+            self._routers_left.set()
 
     async def wait(self) -> None:
         """Return when a stop was asked for and no more packets are to be expected."""
-        await self._asked.wait()
+        await self._requested.wait()
         await _within(self._turn_seconds, self._wait_for_turn())
         self.away = True
         self._on_away()
@@ -80,11 +80,11 @@
             await _within(self._forward_seconds, self._wait_for_routers())
 
     async def _wait_for_turn(self) -> None:
-        while not self._may_go():
+        while not self._is_turn():
             await asyncio.sleep(POLL_SECONDS)
 
     async def _wait_for_routers(self) -> None:
-        await self._turned_away.wait()
+        await self._routers_left.wait()
         await asyncio.sleep(LATE_PACKETS_SECONDS)
 
 
--- a/src/beamloom/runtime/shared_secret.py
+++ b/src/beamloom/runtime/shared_secret.py
@@ -34,7 +34,7 @@
 async def fetch_shared_secret(
     secret: SharedSecret,
     connection: HttpConnection,
-    form: SecretFormat,
+    secret_format: SecretFormat,
     *,
     offered: bytes | None = None,
     first_start: bool = True,
@@ -51,10 +51,10 @@
             if secret.step is SecretStep.CREATE:
                 if offered is None:
                     await asyncio.sleep(secret.make_after_seconds(first_start=first_start))
-                made = os.urandom(KEY_BYTES) if offered is None else offered
-                done = await _create(secret, connection, form, made)
+                new_secret = os.urandom(KEY_BYTES) if offered is None else offered
+                done = await _create(secret, connection, secret_format, new_secret)
             else:
-                done = await _read(secret, connection, form)
+                done = await _read(secret, connection, secret_format)
         except (CallFailedError, ValueError):
             done = False
         if not done:
@@ -62,24 +62,30 @@
     return secret.value
 
 
-async def _read(secret: SharedSecret, connection: HttpConnection, form: SecretFormat) -> bool:
-    path = form.stale_path if secret.step is SecretStep.READ_STALE else form.read_path
+async def _read(
+    secret: SharedSecret, connection: HttpConnection, secret_format: SecretFormat
+) -> bool:
+    path = (
+        secret_format.stale_path
+        if secret.step is SecretStep.READ_STALE
+        else secret_format.read_path
+    )
     answer = await connection.call("GET", path, SECRET_LIMITS)
-    secret.era = form.read_era(answer.headers)
+    secret.era = secret_format.read_era(answer.headers)
     if answer.status == STATUS_NOT_FOUND:
         secret.take_absent()
         return True
     if answer.status not in STATUSES_DONE:
         return False
-    secret.take_secret(form.decode(answer.body))
+    secret.take_secret(secret_format.decode(answer.body))
     return True
 
 
 async def _create(
-    secret: SharedSecret, connection: HttpConnection, form: SecretFormat, made: bytes
+    secret: SharedSecret, connection: HttpConnection, secret_format: SecretFormat, new_secret: bytes
 ) -> bool:
-    body = form.encode(made)
-    answer = await connection.call("POST", form.create_path, SECRET_LIMITS, body)
+    body = secret_format.encode(new_secret)
+    answer = await connection.call("POST", secret_format.create_path, SECRET_LIMITS, body)
     if answer.status in STATUSES_DONE or answer.status == STATUS_CONFLICT:
         secret.take_created()
         return True
--- a/src/beamloom/runtime/signal_mask.py
+++ b/src/beamloom/runtime/signal_mask.py
@@ -13,14 +13,14 @@
 
 import _signal  # type: ignore[import-not-found]
 
-OBEYED = (_signal.SIGTERM, _signal.SIGINT, _signal.SIGHUP)
+HANDLED_SIGNALS = (_signal.SIGTERM, _signal.SIGINT, _signal.SIGHUP)
 
 
 def block_signals() -> None:
     """Let the signals that a node obeys wait."""
-    _signal.pthread_sigmask(_signal.SIG_BLOCK, OBEYED)
+    _signal.pthread_sigmask(_signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def unblock_signals() -> None:
     """Let them arrive, those that have waited at once: the node's handlers are there."""
-    _signal.pthread_sigmask(_signal.SIG_UNBLOCK, OBEYED)
+    _signal.pthread_sigmask(_signal.SIG_UNBLOCK, HANDLED_SIGNALS)
--- a/src/beamloom/runtime/start_timeline.py
+++ b/src/beamloom/runtime/start_timeline.py
@@ -81,7 +81,7 @@
         """End the start and count it; return the fields of its line, None where it had ended."""
         if self.outcome is not None:
             return None
-        self.outcome = self._judge(stopped=stopped)
+        self.outcome = self._classify(stopped=stopped)
         for moment, histogram in (
             ("ready", self.ready_seconds),
             ("packet_forwarded", self.forwarded_seconds),
@@ -92,7 +92,7 @@
             self.forwarded_processor_seconds.observe(self.processor_seconds["packet_forwarded"])
         return self._fields()
 
-    def _judge(self, *, stopped: bool) -> Outcome:
+    def _classify(self, *, stopped: bool) -> Outcome:
         if "packet_forwarded" in self.seconds:
             return "forwarded"
         if stopped:
@@ -113,9 +113,9 @@
 class StartLog:
     """Notes moments by the process's clocks; `tell` gets the line's event and fields."""
 
-    def __init__(self, timeline: StartTimeline, tell: Callable[..., None]) -> None:
+    def __init__(self, timeline: StartTimeline, log_event: Callable[..., None]) -> None:
         self.timeline = timeline
-        self._tell = tell
+        self._log_event = log_event
 
     def note(self, moment: Moment) -> None:
         """Note that something has happened; with the first packet forwarded the start is over."""
@@ -148,7 +148,7 @@
     def _end(self, *, stopped: bool = False) -> None:
         fields = self.timeline.end(stopped=stopped)
         if fields is not None:
-            self._tell("StartTimeline", **fields)
+            self._log_event("StartTimeline", **fields)
 
 
 def begin_timeline(first_at: float, processor_seconds: float) -> StartTimeline:
--- a/src/beamloom/runtime/store_follower.py
+++ b/src/beamloom/runtime/store_follower.py
@@ -72,7 +72,7 @@
         settings: TokenNodeSettings,
         core: TokenCore,
         decisions: DecisionLog,
-        chance: random.Random,
+        rng: random.Random,
         mechanisms: Mechanisms = ALL_MECHANISMS,
     ) -> None:
         self._mechanisms = mechanisms
@@ -80,21 +80,21 @@
         self._settings = settings
         self._core = core
         self._decisions = decisions
-        self._chance = chance
+        self._rng = rng
         self._connections: list[HttpConnection] = []
         self.silent_connections: Counter[str] = Counter()
         self._has_peers = False
-        self._was_alone = False
+        self._lost_peers = False
         self.secret = FleetSecret(
             settings,
             core.duty,
-            chance,
+            rng,
             self._connect(ConnectionKind.SECRET),
             self._open_link,
             decisions=decisions,
             asks_peers=mechanisms.key_from_peers,
         )
-        self.secret.on_change = self._use_secrets
+        self.secret.on_change = self._apply_secrets
         self.readers: list[StoreReader[Any]] = [
             self._make_reader(_BACKENDS, core.backend_watch, core.backend_turn, core.take_backends),
             self._make_reader(
@@ -132,11 +132,11 @@
         """Let time pass; to be called a few times a second, after the core's own."""
         for reader in self.readers:
             reader.advance(now)
-        self._note_era()
+        self._check_era()
         self.send()
-        self._note_peers()
+        self._log_peer_changes()
 
-    def _note_era(self) -> None:
+    def _check_era(self) -> None:
         """Let the secret be looked after where the store, as this node or a peer read it, is new.
 
         No era is known before the first whole view.
@@ -146,17 +146,17 @@
         if revisions:
             self.secret.note_era(era_of(max(revisions)))
 
-    def _note_peers(self) -> None:
+    def _log_peer_changes(self) -> None:
         """Tell when this node is alone after it had peers, and when it is so no longer."""
         if self._core.exchange is None:
             return
         has_peers = len(self._core.exchange.peers) > 0
         if has_peers == self._has_peers:
             return
-        if has_peers and self._was_alone:
+        if has_peers and self._lost_peers:
             self._decisions.dependency_regained("peers", 1)
         elif not has_peers:
-            self._was_alone = True
+            self._lost_peers = True
             self._decisions.dependency_lost("peers", "none was heard for long", 1)
         self._has_peers = has_peers
 
@@ -168,20 +168,20 @@
 
     async def _follow_secret(self) -> None:
         """Get the fleet's secret, meet the peers, and look after the secret from then on."""
-        told_by_store = await self.secret.fetch()
+        is_from_store = await self.secret.fetch()
         self._core.use_key(*self.secret.known)
-        if told_by_store:
+        if is_from_store:
             await asyncio.sleep(JOIN_PEERS_AFTER_SECONDS)
         await import_gradually()
         self._join_peers()
         await self.secret.keep()
 
-    def _use_secrets(self) -> None:
+    def _apply_secrets(self) -> None:
         """Mint and sign with another secret than before."""
         self._core.use_key(*self.secret.known)
         if self.link is not None:
             self.link.use_keys(tuple(map(_peer_key, self.secret.known)))
-        self.secret.begin_to_answer()
+        self.secret.start_answering()
 
     def _open_link(self) -> PeerLink | None:
         """Return the socket for peers, bound now if it was not; None where that fails."""
@@ -193,7 +193,11 @@
         sender = self._core.duty.reader_id
         try:
             self.link = PeerLink(
-                settings.host, settings.peer_port, sender, self._take_message, self._take_open
+                settings.host,
+                settings.peer_port,
+                sender,
+                self._handle_message,
+                self._handle_unsigned,
             )
         except OSError as error:
             self._decisions.dependency_lost("peers", str(error), 1)
@@ -202,9 +206,9 @@
     def _join_peers(self) -> None:
         if self._open_link() is not None:
             self._core.join_peers(self._settings.host, self._settings.seeds)
-        self._use_secrets()
+        self._apply_secrets()
 
-    def _take_message(self, host: str, message: Message) -> None:
+    def _handle_message(self, host: str, message: Message) -> None:
         self.secret.note_member(host, _now())
         try:
             self._core.handle_message(host, message, _now())
@@ -212,8 +216,8 @@
             self._decisions.life("PeerMessageRefused", host=host, reason=repr(error))
         self.send()
 
-    def _take_open(self, host: str, message: Message) -> None:
-        self.secret.take_open(host, message, _now())
+    def _handle_unsigned(self, host: str, message: Message) -> None:
+        self.secret.handle_unsigned(host, message, _now())
 
     def send(self) -> None:
         """Send what the core has to tell other nodes."""
@@ -227,7 +231,7 @@
         kind: KindFormat[Record],
         watch: ObjectWatch[Record],
         turn: ReadingTurn,
-        take: Callable[[tuple[ObjectChange[Record], ...], float], None],
+        apply_changes: Callable[[tuple[ObjectChange[Record], ...], float], None],
     ) -> StoreReader[Record]:
         connection = self._connect(ConnectionKind(kind.label))
         reader = StoreReader(watch, kind, connection, turn)
@@ -238,11 +242,11 @@
         reader.on_older_list = functools.partial(self._decisions.older_list, kind.label)
         reader.on_recovery = functools.partial(self._decisions.dependency_regained, dependency)
 
-        def take_answer(changes: tuple[ObjectChange[Record], ...]) -> None:
-            take(changes, _now())
+        def apply_answer(changes: tuple[ObjectChange[Record], ...]) -> None:
+            apply_changes(changes, _now())
             self.send()
 
-        reader.on_answer = take_answer
+        reader.on_answer = apply_answer
         return reader
 
     def _connect(self, kind: ConnectionKind) -> HttpConnection:
@@ -252,11 +256,11 @@
             local_host=settings.host,
             notices_silence=self._mechanisms.silence_probes,
         )
-        connection.on_silence = functools.partial(self._note_silence, kind)
+        connection.on_silence = functools.partial(self._record_silence, kind)
         self._connections.append(connection)
         return connection
 
-    def _note_silence(self, kind: ConnectionKind, failure: CallFailure) -> None:
+    def _record_silence(self, kind: ConnectionKind, failure: CallFailure) -> None:
         """Count a connection that may be silent; a missed deadline may be the store's fault."""
         self.silent_connections[f"{kind.value}_{failure.value}"] += 1
         if failure is not CallFailure.DEADLINE:
--- a/src/beamloom/runtime/store_reader.py
+++ b/src/beamloom/runtime/store_reader.py
@@ -82,7 +82,7 @@
         self._turn = turn
         self._wake = asyncio.Event()
         self._list_seconds = LIST_SECONDS
-        self._rest_seconds = 0.0
+        self._pause_seconds = 0.0
         self._was_silent = False
 
     def advance(self, now: float) -> None:
@@ -95,12 +95,12 @@
         try:
             while True:
                 await self._wait_for_turn()
-                failure = await self._step()
+                failure = await self._call_once()
                 if failure is not None:
-                    self._rest_seconds = self._turn.note_failure(_now())
+                    self._pause_seconds = self._turn.note_failure(_now())
                     self.on_failure(failure, self.watch.failures)
-                if self._rest_seconds:
-                    await asyncio.sleep(self._rest_seconds)
+                if self._pause_seconds:
+                    await asyncio.sleep(self._pause_seconds)
         finally:
             self._connection.close()
 
@@ -111,9 +111,9 @@
         self._wake.clear()
         await self._wake.wait()
 
-    async def _step(self) -> str | None:
+    async def _call_once(self) -> str | None:
         """Make one call and take its answer; return why it had no usable one."""
-        self._rest_seconds = 0.0
+        self._pause_seconds = 0.0
         request = self.watch.next_request()
         failures = self.watch.failures
         asked_at = _now()
@@ -121,23 +121,23 @@
             answer = await self._call(request)
         except CallFailedError as error:
             self.counters[f"calls_{error.failure.value}"] += 1
-            return self._take_failure(error.failure)
+            return self._handle_failure(error.failure)
         self._was_silent = False
         self.counters[f"calls_{answer.status}"] += 1
-        self._note_era(answer)
-        failure = self._take(request, answer, asked_at)
+        self._report_new_era(answer)
+        failure = self._handle_answer(request, answer, asked_at)
         if failure is None and failures:
             self.on_recovery(failures)
         return failure
 
-    def _note_era(self, answer: HttpAnswer) -> None:
+    def _report_new_era(self, answer: HttpAnswer) -> None:
         """Tell of an era of the store that this reader has not met before."""
         era = self._kind.read_era(answer.headers)
         if era is not None and era != self.era:
             self.era = era
             self.on_era(era)
 
-    def _take_failure(self, failure: CallFailure) -> str | None:
+    def _handle_failure(self, failure: CallFailure) -> str | None:
         """Return why a call had no answer; None where the next one is to follow at once."""
         if failure is CallFailure.SILENT and not self._was_silent:
             self._was_silent = True
@@ -156,7 +156,7 @@
         path = self._kind.watch_path(request, wait)
         return await self._connection.call("GET", path, watch_limits(wait))
 
-    def _take(
+    def _handle_answer(
         self, request: ListRequest | WatchRequest, answer: HttpAnswer, asked_at: float
     ) -> str | None:
         if answer.status == STATUS_GONE:
@@ -165,43 +165,43 @@
         if answer.status != STATUS_OK:
             return f"status_{answer.status}"
         try:
-            changes = self._take_body(request, answer, asked_at)
+            changes = self._apply_body(request, answer, asked_at)
         except ValueError as error:
             return f"unreadable: {error}"
-        self._rest_seconds = self._turn.note_answer(_now(), changes=bool(changes))
+        self._pause_seconds = self._turn.note_answer(_now(), changes=bool(changes))
         self.on_answer(changes)
         return None
 
-    def _take_body(
+    def _apply_body(
         self, request: ListRequest | WatchRequest, answer: HttpAnswer, asked_at: float
     ) -> tuple[ObjectChange[Record], ...]:
-        told = self._kind.read_era(answer.headers)
-        era = self._known_era if told is None else told
+        answer_era = self._kind.read_era(answer.headers)
+        era = self._view_era if answer_era is None else answer_era
         self._list_seconds = LIST_SECONDS if not self.watch.must_list else self._list_seconds
         if isinstance(request, ListRequest):
             self.list_seconds.observe(_now() - asked_at)
             page = self._kind.read_page(answer.body, era)
-            self._tell_unreadable(page.unreadable)
-            self._note_older_list(page.revision)
-            return self.watch.take_page(page, asked_at, tells_era=told is not None)
+            self._report_unreadable(page.unreadable)
+            self._report_older_list(page.revision)
+            return self.watch.take_page(page, asked_at, tells_era=answer_era is not None)
         batch = self._kind.read_changes(answer.body, era)
-        self._tell_unreadable(batch.unreadable)
-        return self.watch.take_changes(batch, _now(), tells_era=told is not None)
+        self._report_unreadable(batch.unreadable)
+        return self.watch.take_changes(batch, _now(), tells_era=answer_era is not None)
 
     @property
-    def _known_era(self) -> int:
+    def _view_era(self) -> int:
         """The era of what is known, which an answer is of that tells none."""
         known = self.watch.view.revision
         return UNKNOWN_ERA if known is None else era_of(known)
 
-    def _note_older_list(self, listed: int) -> None:
+    def _report_older_list(self, listed: int) -> None:
         """Count a list that is older than what is known: it changes nothing."""
         known = self.watch.view.revision
         if known is not None and listed < known:
             self.counters["lists_older"] += 1
             self.on_older_list(number_of(listed), number_of(known))
 
-    def _tell_unreadable(self, unreadable: tuple[str, ...]) -> None:
+    def _report_unreadable(self, unreadable: tuple[str, ...]) -> None:
         for text in unreadable:
             self.counters["objects_unreadable"] += 1
             self.on_unreadable(text)
--- a/src/beamloom/runtime/token_metrics.py
+++ b/src/beamloom/runtime/token_metrics.py
@@ -104,11 +104,11 @@
 
 
 def _silent_connections(node: TokenNode) -> Counter[str]:
-    found = Counter(node.follower.silent_connections)
+    counts = Counter(node.follower.silent_connections)
     for responder in node.responders:
         for cause, count in responder.counters.items():
-            found[f"{responder.kind.value}_{cause}"] += count
-    return found
+            counts[f"{responder.kind.value}_{cause}"] += count
+    return counts
 
 
 def _gauges(node: TokenNode) -> dict[str, float | None]:
@@ -119,8 +119,8 @@
         "open_flows": len(core.router.flows),
         "backends": len(core.router.backends),
         "configuration_version": core.router.routes.version,
-        "backends_revision": _number(core.backends.revision),
-        "configuration_revision": _number(core.configuration.revision),
+        "backends_revision": _store_number(core.backends.revision),
+        "configuration_revision": _store_number(core.configuration.revision),
         "store_era": _newest_era(node),
         "backends_age_seconds": core.backends.age(now),
         "configuration_age_seconds": core.configuration.age(now),
@@ -134,7 +134,7 @@
     }
 
 
-def _number(revision: int | None) -> int | None:
+def _store_number(revision: int | None) -> int | None:
     """Return a revision as the store counts it."""
     return None if revision is None else number_of(revision)
 
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -74,7 +74,7 @@
         self.settings = settings
         self._mechanisms = mechanisms
         self._read_settings = read_settings
-        chance = self._chance = random.Random()
+        rng = self._rng = random.Random()
         self.log = EventLog(settings.node, standard_output())
         self.decisions = DecisionLog(self.log, packet_layout.describe_flow, self._view_age)
         self.start = StartLog(timeline or StartTimeline(time.monotonic()), self.decisions.life)
@@ -86,7 +86,7 @@
             reader_id,
             store_objects.CONFIGURATION_NAME,
             self.decisions,
-            chance=chance,
+            chance=rng,
             times=reading_times(
                 min(settings.apply_seconds, settings.drain_seconds),
                 settings.contact_seconds,
@@ -101,21 +101,21 @@
             heartbeat_seconds=settings.heartbeat_seconds,
             is_seed=settings.host in settings.seeds,
         )
-        self.core.on_progress = self._note_ready
-        self.follower = StoreFollower(settings, self.core, self.decisions, chance, mechanisms)
+        self.core.on_progress = self._record_progress
+        self.follower = StoreFollower(settings, self.core, self.decisions, rng, mechanisms)
         self.limit_watch = LimitWatch(
-            self.core, settings, self._peer_traffic, self._note_limit_fault
+            self.core, settings, self._peer_traffic, self._log_limit_watch_fault
         )
         self._packets = PacketSocket(
             packets,
             self.core.router,
-            self._note_fault,
+            self._log_packet_fault,
             self._before_packets,
-            self._judge_later,
+            self._schedule_deadline,
             on_first=self.start.note,
         )
         self._checker = BackendChecker(self.core.checks, settings.host, self._send_all)
-        self._judgement: asyncio.TimerHandle | None = None
+        self._deadline_timer: asyncio.TimerHandle | None = None
         self._responder = HttpResponder(
             {store_objects.READINESS_PATH: self._answer_readiness}, ConnectionKind.READINESS
         )
@@ -124,11 +124,11 @@
             {METRICS_PATH: self._answer_metrics}, ConnectionKind.METRICS
         )
         self.responders = (self._responder, self._metrics_responder)
-        self._began_at = time.monotonic()
+        self._started_at = time.monotonic()
         self._stop = PlannedStop(
             settings.stop_seconds,
-            self._may_go_away,
-            self._go_away,
+            self._is_stop_turn,
+            self._announce_away,
             forwards=mechanisms.forwarding_after_stop,
         )
         self._was_ready = False
@@ -142,14 +142,14 @@
         """Ask for a planned stop."""
         self.decisions.life("StopRequested", flows=len(self.core.router.flows))
         self.start.stop()
-        self._stop.ask(in_use=self._was_ready)
+        self._stop.request(in_use=self._was_ready)
         self.core.ask_to_stop(time.monotonic())
         self.follower.send()
 
-    def _may_go_away(self) -> bool:
+    def _is_stop_turn(self) -> bool:
         return self.core.may_go_away(time.monotonic())
 
-    def _go_away(self) -> None:
+    def _announce_away(self) -> None:
         self.core.go_away(time.monotonic())
         self.follower.send()
         self.decisions.life("Away", flows=len(self.core.router.flows))
@@ -164,11 +164,11 @@
         changed = changed_fields(self.settings, settings)
         self.settings = settings
         self.follower.use_settings(settings)
-        waiting = [name for name in changed if name in FIELDS_OF_A_START]
+        deferred = [name for name in changed if name in FIELDS_OF_A_START]
         self.decisions.life(
             "SettingsReloaded",
             changed=", ".join(changed) or None,
-            takes_effect_at_next_start=", ".join(waiting) or None,
+            takes_effect_at_next_start=", ".join(deferred) or None,
         )
 
     async def run(self) -> None:
@@ -184,11 +184,11 @@
         self.start.note("listening")
         await self._start_metrics()
         self.decisions.life("Started", zone=self.settings.zone)
-        self._tell_unusable_limits()
+        self._log_unusable_limits()
         jobs = (
             self.follower.run(),
             self._tick(),
-            self._take_packets_at_last(),
+            self._read_packets_when_unready(),
             self.limit_watch.run(),
         )
         tasks = [asyncio.create_task(job) for job in jobs]
@@ -204,7 +204,7 @@
     def _peer_traffic(self) -> Counter[str]:
         return Counter() if self.follower.link is None else self.follower.link.counters
 
-    def _tell_unusable_limits(self) -> None:
+    def _log_unusable_limits(self) -> None:
         """Tell which limits of the settings are missing or absurd, if any: they count as least."""
         if self.settings.unusable_limits:
             names = ", ".join(self.settings.unusable_limits)
@@ -220,7 +220,7 @@
         except OSError as error:
             self.decisions.dependency_lost("metrics address", str(error), 1)
 
-    async def _take_packets_at_last(self) -> None:
+    async def _read_packets_when_unready(self) -> None:
         """Read packets, and count them as dropped, where the node is not ready for long."""
         await asyncio.sleep(LONGEST_QUEUE_SECONDS if self._mechanisms.waiting_packets else 0.0)
         self._packets.start()
@@ -228,7 +228,7 @@
 
     async def _tick(self) -> None:
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(first_tick_seconds(self._chance, self._mechanisms))
+        await asyncio.sleep(first_tick_seconds(self._rng, self._mechanisms))
         while True:
             due = loop.time() + TICK_SECONDS
             await asyncio.sleep(TICK_SECONDS)
@@ -245,31 +245,31 @@
         self._packets.send_resets()
         self.follower.send()
 
-    def _judge_later(self) -> None:
+    def _schedule_deadline(self) -> None:
         """Judge openings and requests without an answer as soon as their time is over."""
         due = self.core.router.flows.next_judgement()
-        if due is not None and self._judgement is None:
-            self._judgement = asyncio.get_running_loop().call_at(due, self._judge)
+        if due is not None and self._deadline_timer is None:
+            self._deadline_timer = asyncio.get_running_loop().call_at(due, self._handle_deadline)
 
-    def _judge(self) -> None:
-        self._judgement = None
+    def _handle_deadline(self) -> None:
+        self._deadline_timer = None
         self.core.router.advance(asyncio.get_running_loop().time())
-        self._judge_later()
+        self._schedule_deadline()
 
     def _handle_signals(self) -> None:
         """Obey signals in the loop; the loop's own way would load `inspect` before it is needed."""
         loop = asyncio.get_running_loop()
-        for number, obey in (
+        for number, handler in (
             (signal.SIGTERM, self.request_stop),
             (signal.SIGINT, self.request_stop),
             (signal.SIGHUP, self.reload),
         ):
-            signal.signal(number, partial(_call_in_loop, loop, obey))
+            signal.signal(number, partial(_call_in_loop, loop, handler))
         unblock_signals()
 
     def _close(self) -> None:
-        if self._judgement is not None:
-            self._judgement.cancel()
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
         self._checker.close()
         self._packets.close()
         self._responder.close()
@@ -278,13 +278,13 @@
         self.decisions.life("Stopped")
         self.log.flush()
 
-    def _note_ready(self) -> None:
+    def _record_progress(self) -> None:
         """Tell once that the node has become ready, and how it came to be so."""
         self.start.note_progress(self.core)
         if self.ready and not self._was_ready:
             self._was_ready = True
             self.start.note("ready")
-            if time.monotonic() - self._began_at > LONGEST_OPENING_WAIT_SECONDS:
+            if time.monotonic() - self._started_at > LONGEST_OPENING_WAIT_SECONDS:
                 self._packets.start_without_waiting_openings()
             else:
                 self._packets.start()
@@ -296,10 +296,10 @@
         if self._mechanisms.discard_after_stall and self.core.take_stall(now):
             self._packets.discard_waiting_openings()
 
-    def _note_fault(self, error: Exception) -> None:
+    def _log_packet_fault(self, error: Exception) -> None:
         self.decisions.life("PacketFault", error=repr(error), where=_origin(error))
 
-    def _note_limit_fault(self, error: Exception) -> None:
+    def _log_limit_watch_fault(self, error: Exception) -> None:
         self.decisions.life("LimitWatchFault", error=repr(error), where=_origin(error))
 
     def _view_age(self) -> float | None:
@@ -316,7 +316,7 @@
         if self.ready:
             self.start.note("readiness_answered")
             return HttpAnswer(200, b"ready\n")
-        self._stop.note_miss(asyncio.get_running_loop().time())
+        self._stop.record_miss(asyncio.get_running_loop().time())
         return HttpAnswer(503, b"not ready\n")
 
 
@@ -327,16 +327,16 @@
     return evacuation_reading_times(settings.evacuate_seconds, settings.contact_seconds, mechanisms)
 
 
-def first_tick_seconds(chance: random.Random, mechanisms: Mechanisms) -> float:
+def first_tick_seconds(rng: random.Random, mechanisms: Mechanisms) -> float:
     """Return how long after its start a node's ticks begin."""
-    return chance.uniform(0.0, TICK_SECONDS) if mechanisms.spread_ticks else 0.0
+    return rng.uniform(0.0, TICK_SECONDS) if mechanisms.spread_ticks else 0.0
 
 
 def _call_in_loop(
-    loop: asyncio.AbstractEventLoop, obey: Callable[[], None], _number: int, _frame: object
+    loop: asyncio.AbstractEventLoop, handler: Callable[[], None], _number: int, _frame: object
 ) -> None:
     """Handle a signal: wake the loop, which calls `obey` between two other callbacks."""
-    loop.call_soon_threadsafe(obey)
+    loop.call_soon_threadsafe(handler)
 
 
 def _origin(error: BaseException) -> str:
--- a/src/beamloom/runtime/token_node_main.py
+++ b/src/beamloom/runtime/token_node_main.py
@@ -30,7 +30,7 @@
     from beamloom.runtime.token_node import TokenNode
 
 EXIT_SETTINGS = 2
-FULL_COLLECTION_AFTER = 1000
+FULL_COLLECTION_THRESHOLD = 1000
 """Collections of the middle generation before a full one. A full one looks through all open flows,
 and packets wait meanwhile; next to nothing that a node makes is freed by it.
 """
@@ -102,7 +102,7 @@
 def collect_rarely() -> None:
     """Let collections look through all objects only after very many of the younger ones."""
     young, middle, _ = gc.get_threshold()
-    gc.set_threshold(young, middle, FULL_COLLECTION_AFTER)
+    gc.set_threshold(young, middle, FULL_COLLECTION_THRESHOLD)
 
 
 if __name__ == "__main__":
--- a/tests/functional/test_signals.py
+++ b/tests/functional/test_signals.py
@@ -30,7 +30,7 @@
 from unittest import mock
 
 import beamloom.runtime.start
-from beamloom.runtime.signal_mask import OBEYED, block_signals, unblock_signals
+from beamloom.runtime.signal_mask import HANDLED_SIGNALS, block_signals, unblock_signals
 from beamloom.soak.nodes import holds
 from beamloom.soak.program import install_program
 from tests.functional.node_case import NodeTestCase
@@ -137,7 +137,9 @@
             timeout=LONGEST_END_SECONDS,
             check=False,
         )
-        self.assertEqual(run.stdout.split(), [str(int(number)) for number in sorted(OBEYED)])
+        self.assertEqual(
+            run.stdout.split(), [str(int(number)) for number in sorted(HANDLED_SIGNALS)]
+        )
 
     async def test_whoever_starts_a_node_may_block_the_signals(self) -> None:
         """What came before its first own line is obeyed then: no moment is left."""
@@ -145,7 +147,7 @@
         self.addCleanup(unblock_signals)
         node = self.start_node(1)
         unblock_signals()
-        self.assertTrue(all(holds(node.pid, signal.Signals(number)) for number in OBEYED))
+        self.assertTrue(all(holds(node.pid, signal.Signals(number)) for number in HANDLED_SIGNALS))
         node.send_signal(signal.SIGHUP)
         await self.wait_until_ready(1)
         await self.wait_for_line(1, "SettingsReloaded")
--- a/tests/unit/tokens/test_mechanisms.py
+++ b/tests/unit/tokens/test_mechanisms.py
@@ -311,7 +311,7 @@
     async def ends_at_once() -> bool:
         forwards = mechanisms.forwarding_after_stop
         stop = PlannedStop(1.0, lambda: True, lambda: None, forwards=forwards)
-        stop.ask()
+        stop.request()
         done, rest = await asyncio.wait({asyncio.create_task(stop.wait())}, timeout=0.05)
         for task in rest:
             task.cancel()
