--- a/src/beamloom/runtime/backend_check.py
+++ b/src/beamloom/runtime/backend_check.py
@@ -1,7 +1,7 @@
-"""Checks over TCP whether anybody listens at a backend's address.
+"""Checks over TCP whether a process listens at a backend's address.
 
-Only a connection is opened and closed: a request for health would take a slot of the backend, and
-what it answers says little of its flows.
+The check only opens and closes a connection: a health request would occupy a slot of the backend,
+and its answer says little about the backend's flows.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from beamloom.runtime.connection_limits import CHECK_ATTEMPT_SECONDS, CHECK_ATTEMPTS
 
 MAX_LOOP_DELAY_SECONDS = 0.03
-"""A loop that is later than this may not have seen an answer that was there in time."""
+"""If the event loop ran later than this, an answer may have arrived in time but not been read."""
 
 
 class BackendChecker:
-    """Makes the checks that `checks` asks for; `on_done` is called after each outcome."""
+    """Runs the checks that `checks` requests; `on_done` is called after each outcome."""
 
     def __init__(
         self, checks: LivenessChecks, local_host: str, on_done: Callable[[], None]
@@ -31,7 +31,7 @@
         checks.begin = self._start
 
     def close(self) -> None:
-        """Give up the checks under way."""
+        """Cancel the running checks."""
         for task in self._tasks:
             task.cancel()
 
@@ -51,7 +51,7 @@
 
 
 async def _connect(address: tuple[str, int], local_host: str) -> CheckOutcome:
-    """Try to open a connection once."""
+    """Attempt a connection once; return what that shows of the backend."""
     loop = asyncio.get_running_loop()
     due = loop.time() + CHECK_ATTEMPT_SECONDS
     connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/src/beamloom/runtime/connection_limits.py
+++ b/src/beamloom/runtime/connection_limits.py
@@ -1,9 +1,9 @@
-"""What proves that each connection of a node lives, and how long a node does without that proof.
+"""Timeouts that detect silent connections of a node, for each kind of connection.
 
-A connection may fall silent for good without a reset: what was sent on it is lost, and nothing ever
-comes. The kernel tells where the other machine's kernel acknowledges nothing any more, and times of
-the node's own tell where something between the two machines still does. The table of all of them
-is in docs/design/silent-connections.md.
+A connection may go silent for good without a reset: sent data is lost and nothing is received. The
+kernel detects that the other machine's kernel no longer acknowledges data; the node's own timeouts
+cover the case that something in between still acknowledges it. docs/design/silent-connections.md
+lists all of them.
 """
 
 import socket
@@ -14,42 +14,44 @@
 from beamloom.units import MILLISECONDS
 
 CONNECT_SECONDS = 0.7
-"""Connecting anew beats waiting: a lost opening packet is repeated only after a second or more."""
+"""Below the second or more after which TCP repeats a lost SYN: a new connection is faster."""
 LIST_SECONDS = 2.0
-"""A list of 500 objects takes a tenth of that on a store at ease."""
+"""First deadline of a list. A list of 500 objects takes a tenth of that on an idle store."""
 LONGEST_LIST_SECONDS = 8.0
-"""Where a whole large fleet starts at once, the store's link is full; giving up would only add."""
+"""Longest deadline of a list. When a large fleet starts at once, the store's link is saturated, and
+giving up and retrying would only add load.
+"""
 SECRET_SECONDS = 1.5
-"""A read of one object, by a node of which nothing else depends on it yet."""
+"""Deadline of a call for the fleet's secret, which is a single object."""
 PROGRESS_SHARE = 0.5
-"""A list whose next bytes take longer than this share of its deadline will not be whole by then."""
+"""A list, or the secret, is given up if its answer stalls for this share of the deadline."""
 
 UNACKNOWLEDGED_SECONDS = 0.5
-"""What is sent on a kept connection may be lost once and be repeated (after 0.2 s) by then. Linux
-looks at its next repetition only: 0.93 s after the call on loopback.
+"""Allows data on a reused connection to be lost once and retransmitted (after 0.2 s). Linux checks
+this limit only at a retransmission, so that detection takes about 1 s.
 """
 KEEP_ALIVE_SECONDS = 1
-"""The kernel's shortest: a connection on which nothing comes is probed after so long, and given up
-when a probe has no answer for as long again. A probe and its answer are 40 bytes each.
+"""The shortest that the kernel allows: an idle connection is probed after this time, and closed if
+the probe is not answered within the same time.
 """
 
 CHECK_ATTEMPTS = 2
-"""One lost packet must not count as silence."""
+"""More than one, so that one lost packet does not count as silence."""
 CHECK_ATTEMPT_SECONDS = 0.1
-"""More than ten times the longest way to a backend and back."""
+"""More than ten times the longest round trip to a backend."""
 
 MAXIMUM_CONNECTIONS = 64
-"""Of one responder: a dozen callers, and several connections of each that fell silent."""
+"""Limit per responder: enough for a dozen callers with several silent connections each."""
 IDLE_SECONDS = 30.0
-"""Scrapes come each 15 s as a rule, calls for readiness each 0.5 s."""
+"""Above the usual interval of scrapes (15 s) and of readiness probes (0.5 s)."""
 REQUEST_SECONDS = 2.0
-"""A request is one packet; repeated three times it is there by then."""
+"""How long a request may be incomplete: enough for three retransmissions of its one packet."""
 UNREAD_ANSWER_SECONDS = 5.0
-"""How long an answer may wait for a caller that does not read."""
+"""How long an answer may be unread by the caller."""
 
 
 class ConnectionKind(Enum):
-    """Whose connection it is; the values are labels in counters and logs."""
+    """What a connection is for; the values are labels in counters and logs."""
 
     BACKENDS = "backends"
     CONFIGURATION = "configuration"
@@ -60,10 +62,10 @@
 
 
 class CallLimits(NamedTuple):
-    """How long a call may take as a whole, and how long the rest of an answer may stand still.
+    """How long a call may take, and how long an answer that has begun may stall.
 
-    `waits` says that the server may take its time on purpose, so that only the kernel's probes show
-    before the deadline that the connection lives.
+    With `waits` the server may delay its answer on purpose (a watch), so that only the kernel's
+    probes can detect a silent connection before the deadline.
     """
 
     deadline_seconds: float
@@ -72,7 +74,7 @@
 
 
 class ResponderLimits(NamedTuple):
-    """How many connections a responder holds, and for how long each in which state."""
+    """How many connections a responder keeps, and for how long in each state."""
 
     connections: int = MAXIMUM_CONNECTIONS
     idle_seconds: float = IDLE_SECONDS
@@ -84,18 +86,18 @@
 
 
 def list_limits(deadline_seconds: float) -> CallLimits:
-    """Return the limits of a list, whose deadline grows while the store is slow."""
+    """Return the limits of a list; its reader raises the deadline while the store is slow."""
     return CallLimits(deadline_seconds, PROGRESS_SHARE * deadline_seconds)
 
 
 def watch_limits(wait_seconds: float) -> CallLimits:
-    """Return the limits of a watch that the store may let wait."""
+    """Return the limits of a watch whose answer the store may delay by `wait_seconds`."""
     deadline = wait_seconds + CALL_PATIENCE_SECONDS
     return CallLimits(deadline, CALL_PATIENCE_SECONDS, waits=wait_seconds > 0)
 
 
 def notice_silence(connection: socket.socket) -> None:
-    """Let the kernel end a connection whose other end acknowledges nothing; raises OSError."""
+    """Have the kernel close a connection that is no longer acknowledged; raises OSError."""
     unacknowledged = int(UNACKNOWLEDGED_SECONDS * MILLISECONDS)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_SECONDS)
--- a/src/beamloom/runtime/faults.py
+++ b/src/beamloom/runtime/faults.py
@@ -1,16 +1,17 @@
-"""What happens to an exception that escapes: it is counted, logged with its trace, never lost.
+"""Handling of unexpected exceptions: each is counted, and logged with its traceback.
 
-The policy, by where it escaped:
+What follows depends on the source:
 
-- *packet* and *control_datagram*: what came from outside is dropped and the node goes on, since one
-  datagram that no test foresaw must not stop a node, and then the next one it is sent to.
+- *packet* and *control_datagram*: the input is dropped and the node goes on. Otherwise one
+  unforeseen datagram could stop a node, and then each further node that receives it.
 - *component* (timers, store answers, machine lists, health checks, the stop itself): the state may
-  be half changed and a timer may never be set again, so the process ends with exit status 1; the
-  fleet takes over as it does after any crash.
-- *task* (an asyncio task or callback): counted and logged; whoever owns the task decides.
+  be inconsistent and a timer may be missing, so the process ends with exit status 1. The fleet
+  takes over as after any crash.
+- *task* (an asyncio task or callback): the owner of the task decides.
+- *admin_request*: the request is answered with status 500.
 
-The log has one line with a trace per place in the code, however often it happens; the counter
-`beamloom_faults_total` tells how often.
+The log has one entry per source, exception type and raising line; the counter
+`beamloom_faults_total` has the number of exceptions.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class FaultSource(StrEnum):
-    """Where an exception escaped."""
+    """The part of a node in which an unexpected exception was caught."""
 
     PACKET = "packet"
     CONTROL_DATAGRAM = "control_datagram"
@@ -36,7 +37,7 @@
 
 
 class FaultRecorder:
-    """Counts escaped exceptions and logs each place once."""
+    """Counts unexpected exceptions and logs the first of each place in the code."""
 
     def __init__(self, node: str) -> None:
         self.counts: Counter[FaultSource] = Counter()
@@ -44,7 +45,7 @@
         self._log = structlog.get_logger().bind(node=node)
 
     def record(self, source: FaultSource, error: BaseException) -> None:
-        """Count one exception; the first of its place is logged with its trace."""
+        """Count an exception; the first of its place is logged with its traceback."""
         self.counts[source] += 1
         place = (source, type(error), *_place_of(error))
         if place in self._places:
@@ -53,7 +54,7 @@
         self._log.error("fault", subject=source.value, error=repr(error), exc_info=error)
 
     def record_broken(self, error: Exception) -> BrokenComponentError:
-        """Count an exception after which the node must stop, and return the error to stop with."""
+        """Record an exception that requires the node to stop; return the error to stop with."""
         self.record(FaultSource.COMPONENT, error)
         broken = BrokenComponentError(error)
         broken.__cause__ = error
@@ -62,7 +63,7 @@
     def handle_loop_exception(
         self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]
     ) -> None:
-        """Take what asyncio reports: callbacks that raised, and tasks whose exception none took."""
+        """Record exceptions of callbacks, and of tasks whose exception was never retrieved."""
         error = context.get("exception")
         if error is None:
             error = RuntimeError(str(context.get("message")))
@@ -70,7 +71,7 @@
 
 
 def _place_of(error: BaseException) -> tuple[object, ...]:
-    """Return the file and line that raised."""
+    """Return the file and line that raised an error, or its text if there is no traceback."""
     trace = error.__traceback__
     if trace is None:
         return (str(error),)
--- a/src/beamloom/runtime/fleet_secret.py
+++ b/src/beamloom/runtime/fleet_secret.py
@@ -1,10 +1,10 @@
-"""The fleet's secret on one node: from the store or a neighbour at a start, and kept there since.
+"""The fleet's secret on one node: fetched from the store or a peer, then kept in the store.
 
-The store holds it as an object of the fleet's own. A store that comes back from a copy older than
-that object has lost it, and nobody but the fleet writes it again: without that, the next node that
-starts would make another, and neither could read the tokens nor the messages of the others. So each
-node that hears of a new era looks, and puts the secret back. Where another one is there already,
-that one holds from then on, and the former still verifies.
+The store holds the secret as an object that only the fleet writes. A store that is restored from a
+copy older than that object has lost it. If it stayed lost, the next node that starts would create
+another secret, and could neither verify the others' tokens and messages nor they its own. So each
+node that learns of a new era of the store reads the secret and creates it again if it is missing.
+If the store holds another one by then, the node adopts that and still verifies with the old one.
 """
 
 from __future__ import annotations
@@ -30,18 +30,17 @@
     from beamloom.runtime.peer_link import PeerLink
 
 ASK_PEERS_AFTER_SECONDS = 0.9
-"""A store that has not answered by then may never do so."""
+"""How long a starting node waits for the store before it asks peers as well."""
 ASK_PEERS_INTERVAL_SECONDS = 0.3
-"""A neighbour answers within a fraction of that, unless its answer was lost."""
+"""Retry interval: several times a peer's response time, so a missing answer was probably lost."""
 POLL_SECONDS = 0.02
-"""How soon it is noticed that the store holds no secret: a part of MAKE_AFTER_SECONDS.
-"""
+"""How often the progress of the store's calls is polled; a fraction of MAKE_AFTER_SECONDS."""
 CHECK_SPREAD_SECONDS = 1.0
-"""Not all nodes look in the same moment after a restore; readers, who notice it first, do at once.
-A node that starts meanwhile asks its neighbours.
+"""Random delay of a check after a restore, so that not all nodes call the store at once. Readers
+check immediately; a node that starts meanwhile asks its peers.
 """
 MAX_SECRETS = 3
-"""The one that holds, and those before it while flows of theirs may be open."""
+"""The current secret and the two before it, which still verify tokens of open flows."""
 
 _FORMAT = SecretFormat(
     store_objects.secret_path(stale=False),
@@ -54,10 +53,10 @@
 
 
 class FleetSecret:
-    """Fetches the secret and keeps it; `known` holds the one in use and then former ones.
+    """Fetches the secret and keeps it in the store; `known` holds the current one, then older ones.
 
-    `open_link` returns the socket for peers, None where there is none; `on_change` is called when
-    another secret holds than before.
+    `open_link` returns the socket for peers, or None if it cannot be opened. `on_change` is called
+    when `keep` has replaced the current secret.
     """
 
     def __init__(
@@ -87,7 +86,7 @@
         self._check_needed = asyncio.Event()
 
     async def fetch(self) -> bool:
-        """Get the secret from the store or from a neighbour; return whether the store told it."""
+        """Get the secret from the store or from a peer; return whether it came from the store."""
         steps = SharedSecret(self._rng)
         first_start = self.settings.first_start
         store = asyncio.create_task(
@@ -107,8 +106,8 @@
         return not from_peer
 
     def _schedule_check(self, steps: SharedSecret, *, from_peer: bool) -> None:
-        """Look again where the store may not hold what was read, or what a neighbour told."""
-        # A stale answer of a later era may be of what the store has lost since.
+        """Have `keep` check the store if it may not hold the secret that was fetched."""
+        # A stale answer of a restored store may hold a secret that the store has lost since.
         is_old = steps.step is SecretStep.READ_STALE and steps.is_of_restored_store
         if is_old or (from_peer and steps.found_none):
             self._check_needed.set()
@@ -116,7 +115,7 @@
             self.note_era(steps.era)
 
     async def keep(self) -> None:
-        """Look after the secret in the store whenever that may have lost it; until cancelled."""
+        """Check the secret in the store whenever it may be lost, until cancelled."""
         while True:
             await self._check_needed.wait()
             if not self._duty.reading:
@@ -125,13 +124,13 @@
             await self._check_store()
 
     def note_era(self, era: int) -> None:
-        """Take the newest era of the store that this node has heard of."""
+        """Record an era of the store; one later than the last requires a check."""
         if self._era is not None and era > self._era:
             self._check_needed.set()
         self._era = era if self._era is None else max(era, self._era)
 
     def start_answering(self) -> None:
-        """Give the secret to members that ask for it, from now on."""
+        """Answer members' requests with the current secret from now on."""
         from beamloom.replication.secret_exchange import SecretKeeper
 
         self._seeker = None
@@ -141,12 +140,12 @@
             self._keeper.secret = self.known[0]
 
     def note_member(self, host: str, now: float) -> None:
-        """Note that a host has proved that it has the secret."""
+        """Record that a host has sent a message signed with the secret."""
         if self._keeper is not None:
             self._keeper.note_member(host, now)
 
     def handle_unsigned(self, host: str, message: Message, now: float) -> None:
-        """Take a message of the exchange of the secret."""
+        """Handle a request for the secret, or an answer to this node's request."""
         link = self._open_link() if self._keeper is not None else None
         if self._keeper is not None and link is not None:
             answer = self._keeper.answer(host, message, now)
@@ -163,7 +162,7 @@
         self.known = (secret, *older)[:MAX_SECRETS]
 
     async def _check_store(self) -> None:
-        """Read the secret that the store holds now, putting this node's there if it has none."""
+        """Read the store's secret and adopt it; create it from this node's if it is missing."""
         steps = SharedSecret(self._rng, first_step=SecretStep.READ)
         current = self.known[0]
         secret = await fetch_shared_secret(
@@ -178,7 +177,7 @@
             self._decisions.life("SecretRestored")
 
     async def _ask_peers(self, steps: SharedSecret) -> bytes:
-        """Ask the seeds for the secret where the store fails or holds none; return an answer."""
+        """Ask the seeds once the store fails, is late or holds no secret; return their answer."""
         if not self._asks_peers:
             await asyncio.Event().wait()
         began = _now()
--- a/src/beamloom/runtime/health_checks.py
+++ b/src/beamloom/runtime/health_checks.py
@@ -1,8 +1,8 @@
-"""Carries out `CheckBackend`: asks a backend's health endpoint over HTTP.
+"""Executes `CheckBackend`: requests a backend's health endpoint over HTTP.
 
-The endpoint answers `{"healthy", "shedding", "draining", "load"}`. No answer in time, another
-status than 200 or an unreadable body all count as not healthy. A backend that says it is draining
-counts as shedding: no new work, and what it has goes on.
+The endpoint answers `{"healthy", "shedding", "draining", "load"}`. A timeout, any status but 200 or
+an unreadable body counts as not healthy. A backend that reports draining counts as shedding: it
+gets no new work, and its current work continues.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class HealthAnswer(BaseModel):
-    """What a health endpoint says; fields that are not known are ignored."""
+    """The body of a health endpoint's answer; unknown fields are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -38,7 +38,10 @@
 
 
 class HealthChecks:
-    """Runs at most CONCURRENT_CHECKS checks at once, and one per backend; later ones wait."""
+    """Runs at most CONCURRENT_CHECKS checks at once; more are queued.
+
+    A check of a backend that is still being checked is skipped.
+    """
 
     def __init__(
         self, deliver: Callable[[Event], None], timeout_seconds: float = CHECK_TIMEOUT_SECONDS
@@ -51,7 +54,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     def execute(self, command: Command) -> bool:
-        """Start a check; false where the command is not one."""
+        """Start a check; return False if the command is not a check."""
         if not isinstance(command, CheckBackend):
             return False
         if command.backend_number in self._tasks:
@@ -62,7 +65,7 @@
         return True
 
     async def close(self) -> None:
-        """End every check and wait until all have ended."""
+        """Cancel all checks and wait until they have ended."""
         tasks = tuple(self._tasks.values())
         for task in tasks:
             task.cancel()
@@ -74,7 +77,7 @@
         try:
             async with self._slots:
                 answer = await self._check(command)
-            del self._tasks[command.backend_number]  # The answer may bring the next check.
+            del self._tasks[command.backend_number]  # Delivering may start the next check.
             self._deliver(answer)
         except Exception as error:
             self._tasks.pop(command.backend_number, None)
@@ -115,7 +118,7 @@
 
 
 async def _read_bounded(response: aiohttp.ClientResponse) -> bytes:
-    """Return the body; raises ValueError where it is longer than any true answer."""
+    """Return the body; raises ValueError if it is longer than LARGEST_ANSWER_BYTES."""
     body: Any = b""
     async for chunk in response.content.iter_any():
         body += chunk
--- a/src/beamloom/runtime/limit_watch.py
+++ b/src/beamloom/runtime/limit_watch.py
@@ -1,7 +1,7 @@
-"""Watches a node's own limits once it has been among its peers for a while.
+"""Watches a node's own limits, from some time after its start.
 
-What this takes is imported only then: a start has no time for it, and its load says nothing of
-what comes after.
+Its modules are imported only then, to keep the start short; the load of a start says nothing about
+later load.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     from beamloom.settings.token_node import TokenNodeSettings
 
 WATCH_AFTER_SECONDS = 10.0
-"""A start of a whole fleet is over by then; the longest took 5 s at 300 nodes."""
+"""Longer than the start of a whole fleet takes."""
 LIMIT_MODULES = (
     "logging",
     "six",
@@ -33,10 +33,9 @@
 
 
 class LimitWatch:
-    """Samples what a node uses and lets its core shed roles; runs until cancelled.
+    """Samples a node's usage and has its core shed roles; runs until cancelled.
 
-    `on_fault` hears of an error of our own, after which nothing is watched any more: a node serves
-    without this.
+    An unexpected error is passed to `on_fault` and ends the watch; the node continues to serve.
     """
 
     def __init__(
@@ -55,14 +54,14 @@
 
     @property
     def counters(self) -> Counter[str]:
-        """Changes of state by limit, and figures that could not be read."""
+        """State changes by limit, and failed readings of the usage."""
         if self.limits is None or self.probe is None:
             return Counter()
         return self.limits.counters + self.probe.counters
 
     @property
     def level(self) -> int | None:
-        """How much is given up, 0 being nothing; None before the first sample."""
+        """Index of the current state in STATES, 0 if no role is shed; None before the watch."""
         if self.limits is None:
             return None
         from beamloom.node.own_limits import STATES
@@ -70,7 +69,7 @@
         return STATES.index(self.limits.state)
 
     async def run(self) -> None:
-        """Watch; an error ends the watch and not the node."""
+        """Watch until cancelled, or do nothing more after an error."""
         try:
             await self._watch()
         except Exception as error:
@@ -78,7 +77,7 @@
             await asyncio.Event().wait()
 
     async def _watch(self) -> None:
-        """Begin after WATCH_AFTER_SECONDS, then take a sample each second."""
+        """Wait for WATCH_AFTER_SECONDS, then take a sample every SAMPLE_SECONDS."""
         await asyncio.sleep(WATCH_AFTER_SECONDS)
         await import_gradually(LIMIT_MODULES)
         from beamloom.node.own_limits import SAMPLE_SECONDS, OwnLimits
--- a/src/beamloom/runtime/machine_list.py
+++ b/src/beamloom/runtime/machine_list.py
@@ -1,7 +1,7 @@
-"""Keeps this machine on the platform's list and brings that list to the core.
+"""Registers this machine in the platform's list and delivers that list to the core.
 
-The list is a hint: whatever fails is counted and tried again at the next turn, and the node runs
-on without it.
+The list is only a hint: failures are counted and retried at the next turn, and the node continues
+without it.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 
 
 class MachineClient(Protocol):
-    """The part of the platform's client that is needed here."""
+    """The methods of the platform's client that `MachineList` uses."""
 
     async def list_machines(self) -> MachineListing:
-        """Return the lagging list."""
+        """Return the list, which may be out of date."""
 
     async def register_machine(self, machine: Machine) -> None:
-        """Enter a machine."""
+        """Register a machine."""
 
     async def heartbeat_machine(self, node_id: NodeId) -> None:
-        """Tell that a machine lives."""
+        """Send a machine's heartbeat."""
 
     async def leave_machine(self, node_id: NodeId) -> None:
-        """Tell that a machine is leaving."""
+        """Report that a machine is leaving."""
 
 
 class MachineList:
-    """Registers, then heartbeats and lists once per turn, until cancelled.
+    """Registers the machine, then sends a heartbeat and reads the list once per turn.
 
-    `last_failure` tells why the platform did not answer the latest request, None when it did.
+    `last_failure` is the reason why the latest request failed, or None if it succeeded.
     """
 
     def __init__(
@@ -61,18 +61,18 @@
         self._log = structlog.get_logger().bind(node=machine.node_id)
 
     async def run(self) -> None:
-        """Take turns for ever; only cancellation ends it."""
+        """Take turns until cancelled."""
         while True:
             await self.take_turn()
             await asyncio.sleep(self._turn_seconds)
 
     async def take_turn(self) -> None:
-        """Report that this machine lives, and deliver the list; failures are counted."""
+        """Register or send a heartbeat, then deliver the list; failures are counted."""
         if await self._attempt("report", self._report):
             await self._attempt("list", self._list)
 
     async def leave(self) -> None:
-        """Report that this machine is leaving; a failure is counted, the list then expires it."""
+        """Report that this machine is leaving; after a failure its entry expires by itself."""
         if self._registered:
             await self._attempt("leave", lambda: self._client.leave_machine(self._machine.node_id))
 
@@ -102,7 +102,7 @@
         return True
 
     def _log_reachability(self, failure: str | None) -> None:
-        """Log a change between reachable and unreachable, once."""
+        """Log each change between reachable and unreachable."""
         self.last_failure = failure
         before, after = self._state, "reachable" if failure is None else "unreachable"
         if before == after:
--- a/src/beamloom/runtime/machine_sockets.py
+++ b/src/beamloom/runtime/machine_sockets.py
@@ -1,4 +1,4 @@
-"""The three UDP sockets of one machine, bound before the machine's addresses are told to others."""
+"""The three UDP sockets of one machine, bound before the machine's addresses are published."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineSockets:
-    """Sockets for packets, for packets that other nodes relayed, and for control messages."""
+    """Sockets for clients' packets, packets relayed by other nodes, and control messages."""
 
     data: DatagramSocket
     peer: DatagramSocket
@@ -25,7 +25,7 @@
     def bind(
         cls, data: SocketAddress, peer: SocketAddress, control: SocketAddress
     ) -> MachineSockets:
-        """Bind all three, or none: raises OSError when an address cannot be bound."""
+        """Bind all three sockets, or none and raise OSError."""
         with ExitStack() as opened:
             data_socket = opened.enter_context(closing(DatagramSocket(data)))
             peer_socket = opened.enter_context(closing(DatagramSocket(peer)))
@@ -40,5 +40,5 @@
         return cls.bind(address, address, address)
 
     def machine(self, node_id: NodeId, zone: Zone) -> Machine:
-        """Return the machine that listens on these sockets."""
+        """Return a machine with the addresses of these sockets."""
         return Machine(node_id, zone, self.data.address, self.peer.address, self.control.address)
--- a/src/beamloom/runtime/own_usage.py
+++ b/src/beamloom/runtime/own_usage.py
@@ -1,4 +1,4 @@
-"""Measures what this process uses: processor, peers' traffic, memory, descriptors."""
+"""Measures this process's usage of processor, peer traffic, memory and file descriptors."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 STATM_PATH = "/proc/self/statm"
 DESCRIPTORS_PATH = "/proc/self/fd"
 RESIDENT_FIELD = 1
-"""Of statm: the pages that are in memory (proc(5))."""
+"""Index of the resident pages in statm (proc(5))."""
 PEER_LINK_SHARE = 0.1
-"""Of the link, for what nodes tell each other; the rest is for clients' packets."""
+"""Fraction of the link that peer messages may use; the rest is for clients' packets."""
 SLOW_SAMPLE_INTERVAL = 5
-"""Memory and descriptors, which cost a few system calls, are looked at each fifth time."""
+"""Memory and descriptors, which cost several system calls, are read in every fifth sample."""
 
 
 class UsageProbe:
-    """Samples usage. `unusable` names limits that nobody told: no share of them is known.
+    """Samples usage as shares of the limits in `capacity`.
 
-    `traffic` counts peers' `sent_bytes` and `received_bytes`.
+    `unusable` names limits that are missing or implausible in the settings; their shares are None.
+    `traffic` returns the counters `sent_bytes` and `received_bytes` of peer messages.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         self._descriptors: float | None = None
 
     def sample(self, now: float) -> Usage:
-        """Return what was used since the sample before; nothing is known at the first one."""
+        """Return the usage; that of processor and link is since the last sample, None at first."""
         processor_seconds = time.process_time()
         peer_bytes = self._count_peer_bytes()
         before, self._sampled_at = self._sampled_at, now
@@ -78,7 +79,7 @@
         return used / limit
 
     def _read(self, read: Callable[[], float]) -> float | None:
-        """Return a figure of the kernel's; where it gives none, that is counted."""
+        """Return the result of `read`; on an error count it and return None."""
         try:
             return read()
         except (OSError, ValueError, IndexError) as error:
--- a/src/beamloom/runtime/peer_link.py
+++ b/src/beamloom/runtime/peer_link.py
@@ -1,7 +1,7 @@
-"""The datagrams between nodes: one socket, signed envelopes, each taken once.
+"""Datagrams between nodes: one socket, signed envelopes, replay protection.
 
-Before the fleet's secret is known only messages that nobody signs are sent and taken, and none but
-those of the exchange of the secret.
+Until the fleet's secret is known, only unsigned messages are sent and accepted. Only requests for
+the secret and their answers are accepted unsigned.
 """
 
 from __future__ import annotations
@@ -26,9 +26,10 @@
 
 
 class PeerLink:
-    """Sends and receives messages; raises OSError where the address cannot be bound.
+    """Sends and receives messages; raises OSError if the address cannot be bound.
 
-    `received` hears of signed messages, `received_open` of unsigned ones.
+    `on_message` gets the sender's host and each signed message, `on_unsigned` the same for
+    unsigned ones.
     """
 
     def __init__(
@@ -53,18 +54,18 @@
         self._socket.listen(self._handle_datagram)
 
     def use_keys(self, keys: tuple[bytes, ...]) -> None:
-        """Sign with the first key, and take what is signed with any, from now on."""
+        """Sign with the first key and accept signatures of all `keys` from now on."""
         self._keys = KeyRing(keys)
 
     def send(self, host: str, message: Message) -> None:
-        """Send a signed message to the node at a host; what cannot be sent is counted and lost."""
+        """Send a signed message to the node at a host; a message that cannot be sent is counted."""
         if self._keys is None:
             self.counters["unsent_no_key"] += 1
         else:
             self._send(self._keys, host, message)
 
     def send_unsigned(self, host: str, message: Message) -> None:
-        """Send a message that nobody signs."""
+        """Send an unsigned message to the node at a host."""
         self._send(UNSIGNED_KEYS, host, message)
 
     def close(self) -> None:
@@ -109,7 +110,7 @@
         return envelope
 
     def _handle_unsigned(self, data: bytes, host: str) -> bool:
-        """Take an unsigned datagram; return whether it is one."""
+        """Handle a datagram if it is an unsigned one; return whether it is."""
         try:
             envelope = decode_datagram(UNSIGNED_KEYS, data)
         except ProtocolError:
--- a/src/beamloom/runtime/planned_stop.py
+++ b/src/beamloom/runtime/planned_stop.py
@@ -1,10 +1,10 @@
-"""When a node that was asked to stop may end: once the routers have turned to other nodes.
+"""A planned stop: a node keeps forwarding until the routers have stopped sending it packets.
 
-Routers ask a node whether it is ready and turn away after MISSES_NEEDED answers that it is not. The
-node answers them itself, so it knows when they have; forwarding longer only means that it is still
-away when the next node of its zone is stopped. Before it says that it is not ready it waits for its
-turn (`replication/stop_turns.py`), as far as the time that it has allows. A node that was never
-ready holds no flow, and no router has turned to it: it waits for nobody.
+Routers probe a node's readiness and stop using it after MISSES_NEEDED negative answers. The node
+counts its own answers, so it knows when that is the case; to forward for longer would only delay
+the stop of the next node of its zone. Before it reports that it is not ready, it waits for its turn
+(`replication/stop_turns.py`), for a part of its grace period at most. A node that was never ready
+has no flows and no routers that use it, so it stops without waiting.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 MISSES_NEEDED = 2
 SHORTEST_PROBE_GAP_SECONDS = 0.3
-"""Routers ask twice a second; answers that are closer together went to two of them."""
+"""Each router probes twice a second, so answers closer together went to different routers."""
 LATE_PACKETS_SECONDS = 0.15
-"""Packets that were under way when the routers turned away."""
+"""Time for packets in transit when the routers stopped using the node."""
 LONGEST_FORWARD_SECONDS = 2.5
-"""How long to forward where nobody asks."""
+"""How long to keep forwarding at most, for example if no router probes."""
 TURN_WAIT_FRACTION = 0.4
 FORWARDING_FRACTION = 0.5
-"""How much of the time until the node is killed may go by waiting and by forwarding. Routers must
-have turned away within two thirds of it (docs/QUESTIONS.md).
+"""Maximum fractions of the grace period for waiting and for forwarding. The routers must have
+stopped using the node within two thirds of the period (docs/QUESTIONS.md).
 """
 POLL_SECONDS = 0.02
 
 
 class PlannedStop:
-    """The stop of one node, which has `grace_seconds` from being asked to being killed.
+    """The stop of one node, which is killed `grace_seconds` after the request to stop.
 
-    `may_go` returns whether it is the node's turn; `on_away` is called when its routers are to turn
-    to others, from when on it is `away`. `forwards` is off only to measure what it is worth.
+    `is_turn` returns whether it is the node's turn. `on_away` is called when the node becomes
+    `away`: from then on it reports that it is not ready. Without `forwards` the node stops then.
     """
 
     def __init__(
@@ -55,14 +55,14 @@
         self._missed_at = float("-inf")
 
     def request(self, *, in_use: bool = True) -> None:
-        """Note that the node was asked to stop; one that is not `in_use` was never ready."""
+        """Request the stop; a node that is not `in_use` was never ready."""
         if not in_use:
             self._forwards = False
             self._turn_seconds = 0.0
         self._requested.set()
 
     def record_miss(self, now: float) -> None:
-        """Note that a router was told that the node is not ready."""
+        """Record a negative answer to a readiness probe; counts only while `away`."""
         if not self.away or now - self._missed_at < SHORTEST_PROBE_GAP_SECONDS:
             return
         self._missed_at = now
@@ -71,7 +71,7 @@
             self._routers_left.set()
 
     async def wait(self) -> None:
-        """Return when a stop was asked for and no more packets are to be expected."""
+        """Wait for a request to stop, then for the turn, then for the routers."""
         await self._requested.wait()
         await _within(self._turn_seconds, self._wait_for_turn())
         self.away = True
@@ -89,7 +89,7 @@
 
 
 async def _within(seconds: float, steps: Coroutine[None, None, None]) -> None:
-    """Take steps, but no longer than this."""
+    """Run a coroutine, cancelled after `seconds`."""
     try:
         async with asyncio.timeout(seconds):
             await steps
--- a/src/beamloom/runtime/secrets.py
+++ b/src/beamloom/runtime/secrets.py
@@ -1,6 +1,6 @@
-"""Key and token files of a node, read at start and again on SIGHUP.
+"""Key and token files of a node, read at start; the fleet's keys are read again on SIGHUP.
 
-Paths are relative to the settings file's own folder. Keys are the raw bytes of their files.
+Paths are relative to the folder of the settings file. Keys are the raw bytes of their files.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSecrets:
-    """What the files hold; without an admin token the admin API answers health only."""
+    """Contents of the files; without an admin token the admin API serves health requests only."""
 
     fleet_keys: KeyRing = field(repr=False)
     hash_key: bytes = field(repr=False)
@@ -35,7 +35,7 @@
 
 
 def read_secrets(settings: NodeSettings, folder: Path) -> NodeSecrets:
-    """Read every key and token file; raises an ExceptionGroup of SecretFileErrors, all at once."""
+    """Read all key and token files; raises an ExceptionGroup with a SecretFileError per fault."""
     reader = _Reader(folder)
     keys = [reader.key("fleet.key_files", name) for name in settings.fleet.key_files]
     hash_key = reader.key("fleet.hash_key_file", settings.fleet.hash_key_file)
@@ -47,7 +47,7 @@
 
 
 def read_fleet_keys(settings: NodeSettings, folder: Path) -> KeyRing:
-    """Read the fleet's key files only; raises an ExceptionGroup of SecretFileErrors."""
+    """Read the fleet's key files; raises an ExceptionGroup with a SecretFileError per fault."""
     reader = _Reader(folder)
     keys = [reader.key("fleet.key_files", name) for name in settings.fleet.key_files]
     reader.raise_faults()
@@ -69,7 +69,7 @@
 
 
 class _Reader:
-    """Reads files and keeps the faults, so that all are told at once."""
+    """Reads files and collects the faults, so that one exception reports all of them."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
--- a/src/beamloom/runtime/shared_secret.py
+++ b/src/beamloom/runtime/shared_secret.py
@@ -1,4 +1,4 @@
-"""Carries out the steps to the fleet's shared secret over a connection to the store."""
+"""Reads or creates the fleet's shared secret over a connection to the store."""
 
 import asyncio
 import os
@@ -16,7 +16,7 @@
 
 
 class SecretFormat(NamedTuple):
-    """Paths and bodies of the object that holds the secret; `decode` raises ValueError."""
+    """Paths and codecs of the object that holds the secret; `decode` raises ValueError."""
 
     read_path: str
     stale_path: str
@@ -27,7 +27,7 @@
 
 
 def no_pause() -> float:
-    """Return how long to wait beyond a node's own pause after a failure: no time."""
+    """Return no minimum pause after a failure."""
     return 0.0
 
 
@@ -40,11 +40,11 @@
     first_start: bool = True,
     pause: Callable[[], float] = no_pause,
 ) -> bytes:
-    """Read the secret, making it where there is none; tries until it has one.
+    """Return the secret in the store, created first if there is none; retries until it succeeds.
 
-    What is made is the `offered` one, or a new one after neighbours had time to tell theirs, which
-    is longer where this is no `first_start` of the fleet. `pause` returns how many seconds at least
-    are to pass after a failure.
+    The `offered` secret is created, or else a random one. Before a random one, peers get time to
+    provide theirs: more if this is not the `first_start` of the fleet or the store was restored.
+    `pause` returns the minimum seconds between a failure and the next call.
     """
     while secret.value is None:
         try:
--- a/src/beamloom/runtime/signal_mask.py
+++ b/src/beamloom/runtime/signal_mask.py
@@ -1,12 +1,12 @@
-"""Signals that a node obeys wait while it cannot obey them.
+"""Blocks the signals that a node handles while it has no handlers for them.
 
-Before its handlers are there, and again while its interpreter shuts down, the default action of
-such a signal would end the process: a node that only should read its settings anew would be gone,
-and one that has stopped as planned would seem to have been killed. The kernel keeps one of each
-kind that is blocked, until it is unblocked or the process ends.
+Before the handlers are installed, and again while the interpreter shuts down, the default action
+would end the process: a node that was only to reload its settings would be gone, and a node that
+completed a planned stop would have the exit status of a killed one. The kernel keeps one pending
+instance of each blocked signal until it is unblocked or the process ends.
 
-A program calls `block_signals` in its first lines, before what takes the most time of its start;
-this module imports no more than it needs.
+A program calls `block_signals` in its first lines, before the imports that take most of a start, so
+this module imports as little as possible.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 def block_signals() -> None:
-    """Let the signals that a node obeys wait."""
+    """Block the signals that a node handles."""
     _signal.pthread_sigmask(_signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def unblock_signals() -> None:
-    """Let them arrive, those that have waited at once: the node's handlers are there."""
+    """Deliver the signals again, pending ones at once; the handlers must be installed."""
     _signal.pthread_sigmask(_signal.SIG_UNBLOCK, HANDLED_SIGNALS)
--- a/src/beamloom/runtime/start.py
+++ b/src/beamloom/runtime/start.py
@@ -1,12 +1,12 @@
-"""The file that the platform runs: `python3 -S target/deps/beamloom/runtime/start.py`.
+"""The program that the platform runs: `python3 -S target/deps/beamloom/runtime/start.py`.
 
-Run as a file it needs none of the modules that `python3 -m` imports, which take a tenth of a start.
+It is run as a file to avoid the modules that `python3 -m` imports, which take a tenth of a start.
 """
 
 import _signal  # type: ignore[import-not-found]
 
 if __name__ == "__main__":
-    # What `signal_mask.block_signals` does, before anything else of a start is read or run.
+    # As `signal_mask.block_signals`, before any other module of the node is imported.
     _signal.pthread_sigmask(_signal.SIG_BLOCK, (_signal.SIGTERM, _signal.SIGINT, _signal.SIGHUP))
 
 import gc
@@ -14,13 +14,13 @@
 import sys
 
 BUNDLE = "start.bundle"
-"""Its name in the folder that modules are imported from; deploy/build.sh makes it."""
+"""Name of the bundle in the folder that modules are imported from; deploy/build.sh creates it."""
 LEVELS_UP = 3
-"""This file lies so deep below the folder that modules are imported from."""
+"""Depth of this file below the folder that modules are imported from."""
 
 
 def load() -> None:
-    """Import what a node needs before it is ready, and nothing else."""
+    """Import only the modules that a node needs before it is ready."""
     from beamloom.runtime.deferred_modules import deferred
 
     with deferred():
@@ -32,7 +32,7 @@
     """Run one node from the installed files; return the exit status."""
     gc.disable()
     folder = os.path.abspath(__file__).rsplit("/", LEVELS_UP)[0]
-    sys.path[0] = folder  # not this file's own, which would hide modules of the same names
+    sys.path[0] = folder  # this file's own folder would shadow modules of the same names
     from beamloom.runtime.start_bundle import drop_bundle, use_bundle
 
     bundle = use_bundle(f"{folder}/{BUNDLE}")
--- a/src/beamloom/runtime/start_timeline.py
+++ b/src/beamloom/runtime/start_timeline.py
@@ -1,7 +1,7 @@
-"""The moments of one start, from the beginning of the process to the first packet sent on.
+"""The timeline of one start, from the beginning of the process to the first forwarded packet.
 
-A start is told once, in one line and in the figures: when the first packet has been forwarded, when
-a stop comes first, or after LONGEST_START_SECONDS.
+A start is reported once, in the log and in metrics: when the first packet is forwarded, on an
+earlier stop, or after LONGEST_START_SECONDS.
 """
 
 from __future__ import annotations
@@ -38,22 +38,20 @@
     Outcome = Literal["forwarded", "no_packet", "not_ready", "stopped"]
 
 LONGEST_START_SECONDS = 10.0
-"""A start that takes longer is told as it stands. Ten times what one takes on the smallest machine
-(a tenth of a core) with a store that answers.
+"""A longer start is reported with its moments so far. A start on the smallest machine (a tenth of a
+core) takes a tenth of this if the store answers.
 """
 LONGEST_INTERPRETER_SECONDS = 2.0
-"""More processor time cannot have gone by before the first own line: the process clock of such a
-host counts something else, and tells nothing here. A hundred times what it takes.
+"""Far above the processor time that the interpreter uses before the first own code. On a host whose
+process clock shows more, that clock measures something else and is ignored.
 """
 
 
 class StartTimeline:
-    """What has happened so far, each moment once and in order; without I/O.
+    """The moments of a start so far, each recorded once and in order; without I/O.
 
-    `began_at` is when the process began, in seconds of the steady clock. It is known as the moment
-    of the first own code less the processor time used until then, so that time for which the
-    interpreter waited for a processor is missing. Without `knows_processor_time` such times are
-    neither told nor counted.
+    `began_at` is when the process began, on the monotonic clock. Without `knows_processor_time`,
+    processor times are neither recorded nor reported.
     """
 
     def __init__(self, began_at: float, *, knows_processor_time: bool = True) -> None:
@@ -67,18 +65,18 @@
         self.forwarded_processor_seconds = LatencyHistogram()
 
     def note(self, moment: Moment, now: float, processor_seconds: float) -> None:
-        """Note that something has happened for the first time; repetitions change nothing."""
+        """Record the first occurrence of a moment; later ones are ignored."""
         if moment not in self.seconds:
             self.seconds[moment] = now - self.began_at
             if self._knows_processor_time:
                 self.processor_seconds[moment] = processor_seconds
 
     def is_overdue(self, now: float) -> bool:
-        """Whether the start is to be told though no packet was forwarded."""
+        """Whether the start is to be reported although no packet was forwarded."""
         return now - self.began_at >= LONGEST_START_SECONDS
 
     def end(self, *, stopped: bool = False) -> dict[str, FieldValue] | None:
-        """End the start and count it; return the fields of its line, None where it had ended."""
+        """End the start and update its metrics; return the log fields, or None if it had ended."""
         if self.outcome is not None:
             return None
         self.outcome = self._classify(stopped=stopped)
@@ -111,20 +109,20 @@
 
 
 class StartLog:
-    """Notes moments by the process's clocks; `tell` gets the line's event and fields."""
+    """Records moments on the process's clocks; `log_event` gets an event's name and fields."""
 
     def __init__(self, timeline: StartTimeline, log_event: Callable[..., None]) -> None:
         self.timeline = timeline
         self._log_event = log_event
 
     def note(self, moment: Moment) -> None:
-        """Note that something has happened; with the first packet forwarded the start is over."""
+        """Record a moment; the first forwarded packet ends the start."""
         note_now(self.timeline, moment)
         if moment == "packet_forwarded":
             self._end()
 
     def note_progress(self, core: TokenCore) -> None:
-        """Note which of the things that a node waits for it has now."""
+        """Record which prerequisites of readiness the node has."""
         if "ready" in self.timeline.seconds:
             return
         if core.router.codec is not None:
@@ -137,12 +135,12 @@
             self.note("last_backends")
 
     def advance(self, now: float) -> None:
-        """Tell a start that takes long; to be called a few times a second."""
+        """Report a start that takes too long; to be called a few times a second."""
         if self.timeline.outcome is None and self.timeline.is_overdue(now):
             self._end()
 
     def stop(self) -> None:
-        """Tell the start if that was not done yet: the node stops."""
+        """Report the start, unless that was done, as the node stops."""
         self._end(stopped=True)
 
     def _end(self, *, stopped: bool = False) -> None:
@@ -152,7 +150,11 @@
 
 
 def begin_timeline(first_at: float, processor_seconds: float) -> StartTimeline:
-    """Begin with the first own code: when it ran, and the processor time used by then."""
+    """Return a timeline from the time of the first own code and the processor time used by then.
+
+    The process began earlier by that processor time; any time that the interpreter waited for a
+    processor is not included.
+    """
     known = 0.0 < processor_seconds <= LONGEST_INTERPRETER_SECONDS
     began_at = first_at - processor_seconds if known else first_at
     timeline = StartTimeline(began_at, knows_processor_time=known)
@@ -161,7 +163,7 @@
 
 
 def note_now(timeline: StartTimeline, moment: Moment) -> None:
-    """Note a moment by the clocks of this process."""
+    """Record a moment on the clocks of this process."""
     timeline.note(moment, time.monotonic(), time.process_time())
 
 
--- a/src/beamloom/runtime/store_follower.py
+++ b/src/beamloom/runtime/store_follower.py
@@ -1,8 +1,8 @@
-"""Drives the part of a token node's core that follows the store: calls, timers, peers' datagrams.
+"""Does the I/O by which a token node's core follows the store: calls, timers, peer datagrams.
 
-Peers are joined once the fleet's secret is known; what that takes is imported only then, as a node
-is ready to serve before it. Where the store fails a starting node, the seeds are asked for the
-secret, and all else follows from peers.
+A node joins its peers once it has the fleet's secret. The modules for that are imported only then,
+since a node can serve before. If the store does not answer a starting node, the seeds provide the
+secret, and peers then provide everything else.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 Record = TypeVar("Record")
 
 JOIN_PEERS_AFTER_SECONDS = 0.3
-"""A node that has just become ready first takes the packets that waited."""
+"""Leaves a node that has just become ready time for the packets in its socket's buffer."""
 PEER_KEY_PERSON = b"beamloom-peers"
 
 
 def _kind_format(
     label: str, kind: str, translate: store_objects.Translate[Record]
 ) -> KindFormat[Record]:
-    """Return how a kind of object is asked for and read."""
+    """Return the paths and decoders for a kind of object."""
     return KindFormat(
         label,
         functools.partial(store_objects.list_path, kind),
@@ -65,7 +65,7 @@
 
 
 class StoreFollower:
-    """Reads the store for a core, and carries messages between it and other nodes' cores."""
+    """Reads the store for a core, and exchanges the core's messages with other nodes."""
 
     def __init__(
         self,
@@ -113,7 +113,7 @@
             )
 
     def use_settings(self, settings: TokenNodeSettings) -> None:
-        """Call the store at the address that these settings name, and their seeds."""
+        """Apply new settings: the address of the store, and the seeds."""
         if settings.store != self._settings.store:
             for connection in self._connections:
                 connection.use(*settings.store.pair)
@@ -129,7 +129,7 @@
             group.create_task(self._follow_secret())
 
     def advance(self, now: float) -> None:
-        """Let time pass; to be called a few times a second, after the core's own."""
+        """Run whatever is due; to be called a few times a second, after the core's `advance`."""
         for reader in self.readers:
             reader.advance(now)
         self._check_era()
@@ -137,9 +137,9 @@
         self._log_peer_changes()
 
     def _check_era(self) -> None:
-        """Let the secret be looked after where the store, as this node or a peer read it, is new.
+        """Pass on the newest era of the views: a store in a new era may have lost the secret.
 
-        No era is known before the first whole view.
+        The views may come from the store or from peers. Without a complete view there is no era.
         """
         views = (reader.watch.view for reader in self.readers)
         revisions = [view.revision for view in views if view.revision is not None]
@@ -147,7 +147,7 @@
             self.secret.note_era(era_of(max(revisions)))
 
     def _log_peer_changes(self) -> None:
-        """Tell when this node is alone after it had peers, and when it is so no longer."""
+        """Log when the last peer is lost, and when there are peers again."""
         if self._core.exchange is None:
             return
         has_peers = len(self._core.exchange.peers) > 0
@@ -157,17 +157,17 @@
             self._decisions.dependency_regained("peers", 1)
         elif not has_peers:
             self._lost_peers = True
-            self._decisions.dependency_lost("peers", "none was heard for long", 1)
+            self._decisions.dependency_lost("peers", "no message from any peer for too long", 1)
         self._has_peers = has_peers
 
     def close(self) -> None:
-        """Leave the peers."""
+        """Close the socket for peers."""
         if self.link is not None:
             self.link.close()
             self.link = None
 
     async def _follow_secret(self) -> None:
-        """Get the fleet's secret, meet the peers, and look after the secret from then on."""
+        """Get the fleet's secret, join the peers, then keep the secret in the store."""
         is_from_store = await self.secret.fetch()
         self._core.use_key(*self.secret.known)
         if is_from_store:
@@ -177,14 +177,14 @@
         await self.secret.keep()
 
     def _apply_secrets(self) -> None:
-        """Mint and sign with another secret than before."""
+        """Use the current secrets for tokens, peer messages and requests for the secret."""
         self._core.use_key(*self.secret.known)
         if self.link is not None:
             self.link.use_keys(tuple(map(_peer_key, self.secret.known)))
         self.secret.start_answering()
 
     def _open_link(self) -> PeerLink | None:
-        """Return the socket for peers, bound now if it was not; None where that fails."""
+        """Return the socket for peers and bind it if necessary; None if that fails."""
         if self.link is not None:
             return self.link
         from beamloom.runtime.peer_link import PeerLink
@@ -220,7 +220,7 @@
         self.secret.handle_unsigned(host, message, _now())
 
     def send(self) -> None:
-        """Send what the core has to tell other nodes."""
+        """Send the core's pending messages to other nodes."""
         if self.link is None:
             return
         for send in self._core.take_sends():
@@ -261,14 +261,17 @@
         return connection
 
     def _record_silence(self, kind: ConnectionKind, failure: CallFailure) -> None:
-        """Count a connection that may be silent; a missed deadline may be the store's fault."""
+        """Count a call that failed on a possibly silent connection.
+
+        A missed deadline is not logged: the store may just be slow.
+        """
         self.silent_connections[f"{kind.value}_{failure.value}"] += 1
         if failure is not CallFailure.DEADLINE:
             self._decisions.connection_silent(kind.value, failure.value)
 
 
 def _peer_key(secret: bytes) -> bytes:
-    """Return the key that nodes sign with, made of a secret of the fleet."""
+    """Derive the key that signs peer messages from a secret of the fleet."""
     return blake2b(key=secret, person=PEER_KEY_PERSON).digest()
 
 
--- a/src/beamloom/runtime/store_reader.py
+++ b/src/beamloom/runtime/store_reader.py
@@ -1,10 +1,10 @@
 """Drives one ObjectWatch over a connection: lists, watches, deadlines, pauses.
 
-Each call has a deadline, so a connection that is dead, or a store that takes calls and never
-answers, costs one wait. A connection that the kernel finds silent says nothing of the store: the
-next call follows at once on a new one, and does not wait for a change, so that the view is
-confirmed before other nodes find theirs stale. A node that has the reader's duty watches all the
-time; any other asks only when its view has not been confirmed for a while, by itself or by peers.
+Each call has a deadline, so a dead connection or a store that accepts calls and never answers costs
+one timeout. A connection that the kernel reports as silent is no evidence about the store: the next
+call is made at once on a new connection, where a watch does not wait for changes, so that the view
+is confirmed before other nodes' views are stale. A reader watches continuously. Any other node
+calls the store only if it has no list, or if neither it nor a peer has confirmed the view lately.
 """
 
 from __future__ import annotations
@@ -40,9 +40,10 @@
 
 
 class KindFormat(NamedTuple, Generic[Record]):
-    """How one kind of object is asked for and read; `label` names it in counters and logs.
+    """Paths and decoders for one kind of object; `label` names it in counters and logs.
 
-    What is read is of the era that its answer tells; `read_era` returns None where it tells none.
+    `read_page` and `read_changes` get a body and the era of its revisions. `read_era` returns the
+    era that an answer's headers state, or None.
     """
 
     label: str
@@ -54,9 +55,9 @@
 
 
 class StoreReader(Generic[Record]):
-    """Reads one kind; `run` ends only when it is cancelled.
+    """Reads one kind of object; `run` ends only when it is cancelled.
 
-    `on_answer` is called after each answer that tells how the store stands, with what it changed.
+    `on_answer` is called with the changes after each list or watch that was answered and decoded.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
         self._was_silent = False
 
     def advance(self, now: float) -> None:
-        """Begin to ask where it has become necessary; to be called a few times a second."""
+        """Wake `run` if a call has become necessary; to be called a few times a second."""
         if self._turn.must_ask(now):
             self._wake.set()
 
@@ -112,7 +113,7 @@
         await self._wake.wait()
 
     async def _call_once(self) -> str | None:
-        """Make one call and take its answer; return why it had no usable one."""
+        """Make one call and handle its answer; return why there was no usable one, or None."""
         self._pause_seconds = 0.0
         request = self.watch.next_request()
         failures = self.watch.failures
@@ -131,14 +132,14 @@
         return failure
 
     def _report_new_era(self, answer: HttpAnswer) -> None:
-        """Tell of an era of the store that this reader has not met before."""
+        """Report an era that differs from that of the previous answers."""
         era = self._kind.read_era(answer.headers)
         if era is not None and era != self.era:
             self.era = era
             self.on_era(era)
 
     def _handle_failure(self, failure: CallFailure) -> str | None:
-        """Return why a call had no answer; None where the next one is to follow at once."""
+        """Return the reason of a failed call, or None if the next call is to be made at once."""
         if failure is CallFailure.SILENT and not self._was_silent:
             self._was_silent = True
             return None
@@ -190,12 +191,12 @@
 
     @property
     def _view_era(self) -> int:
-        """The era of what is known, which an answer is of that tells none."""
+        """The era of the view, which is assumed for an answer that states none."""
         known = self.watch.view.revision
         return UNKNOWN_ERA if known is None else era_of(known)
 
     def _report_older_list(self, listed: int) -> None:
-        """Count a list that is older than what is known: it changes nothing."""
+        """Count and report a list that is older than the view."""
         known = self.watch.view.revision
         if known is not None and listed < known:
             self.counters["lists_older"] += 1
--- a/src/beamloom/runtime/token_metrics.py
+++ b/src/beamloom/runtime/token_metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a token node, and what each of them means; imported at the first scrape."""
+"""The metrics of a token node and their help texts; imported at the first scrape."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def read_metrics(node: TokenNode) -> Iterator[Metric]:
-    """Yield the figures of a node as they are now."""
+    """Yield the current metrics of a node."""
     for name, counts in _counters(node).items():
         yield labelled(name, MetricKind.COUNTER, HELP_TEXTS[name], "event", counts)
     moments: dict[str, float] = {str(name): at for name, at in node.start.timeline.seconds.items()}
@@ -135,7 +135,7 @@
 
 
 def _store_number(revision: int | None) -> int | None:
-    """Return a revision as the store counts it."""
+    """Return a revision's number in the store, without its era."""
     return None if revision is None else number_of(revision)
 
 
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -1,8 +1,8 @@
-"""A token node: packets in and out, the store followed, readiness told, signals obeyed.
+"""A token node: forwards packets, follows the store, answers readiness probes, handles signals.
 
-Ready means: a whole list of backends, a configuration and the fleet's key have been read since the
-start, and no stop was asked for. After SIGTERM the node is unready at once and forwards on until
-the routers have turned to others; one that was never ready has nothing to forward and ends at once.
+A node is ready once it has all backends, a configuration and the fleet's key. After SIGTERM it
+waits for its turn to stop, then reports that it is not ready and keeps forwarding until the routers
+have stopped using it. A node that was never ready has nothing to forward and stops at once.
 """
 
 from __future__ import annotations
@@ -44,23 +44,25 @@
 
 METRICS_PATH = "/metrics"
 TICK_SECONDS = 0.25
-"""The first one is drawn by chance: nodes that start together must not all ask the store at once,
-but hear from the one that asked first.
+"""The delay before the first tick is random, so that nodes that start together do not all call the
+store at once: the first one passes its answer on to the others.
 """
 READER_ID_BYTES = 4
 LONGEST_QUEUE_SECONDS = 1.0
-"""Packets that arrive while a node starts wait in its socket for it to become ready: a client would
-send them again only after 0.2 to 1.6 s. Those that waited longer are of no use to anybody.
+"""How long a starting node leaves packets in its socket's buffer until it is ready. After that it
+reads and drops them: clients retransmit within 0.2 to 1.6 s.
 """
 LONGEST_OPENING_WAIT_SECONDS = 0.4
-"""Opening packets that waited longer may have been answered by way of another node."""
+"""After a longer start, opening packets in the buffer are dropped: another node may have forwarded
+their retransmitted copies.
+"""
 
 
 class TokenNode:
-    """One node; `run` returns when it has stopped as planned.
+    """One node; `run` returns when a planned stop is complete.
 
-    `read_settings` is called at each reload and raises ValueError. `packets` is the bound socket of
-    clients' packets. `timeline` has what happened of the start so far.
+    `read_settings` is called at each reload and raises ValueError for a faulty file. `packets` is
+    the bound socket for clients' packets. `timeline` holds the events of the start so far.
     """
 
     def __init__(
@@ -139,7 +141,7 @@
         return self.core.complete and not self._stop.away
 
     def request_stop(self) -> None:
-        """Ask for a planned stop."""
+        """Begin a planned stop."""
         self.decisions.life("StopRequested", flows=len(self.core.router.flows))
         self.start.stop()
         self._stop.request(in_use=self._was_ready)
@@ -155,7 +157,7 @@
         self.decisions.life("Away", flows=len(self.core.router.flows))
 
     def reload(self) -> None:
-        """Read the settings again; a faulty file is told and changes nothing."""
+        """Read the settings again; a faulty file is logged and changes nothing."""
         try:
             settings = self._read_settings()
         except ValueError as error:
@@ -172,7 +174,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until a stop is asked for, then until it is complete; obey signals meanwhile."""
+        """Serve and handle signals until a requested stop is complete."""
         self._handle_signals()
         try:
             await self._serve()
@@ -205,13 +207,13 @@
         return Counter() if self.follower.link is None else self.follower.link.counters
 
     def _log_unusable_limits(self) -> None:
-        """Tell which limits of the settings are missing or absurd, if any: they count as least."""
+        """Log limits that are missing or implausible in the settings; the least value applies."""
         if self.settings.unusable_limits:
             names = ", ".join(self.settings.unusable_limits)
             self.decisions.life("LimitsUnusable", taken_as_least=names)
 
     async def _start_metrics(self) -> None:
-        """Tell figures where the settings say; a node serves without them as well."""
+        """Serve metrics at the configured address; without it the node only logs the error."""
         endpoint = self.settings.metrics
         if endpoint is None:
             return
@@ -221,7 +223,7 @@
             self.decisions.dependency_lost("metrics address", str(error), 1)
 
     async def _read_packets_when_unready(self) -> None:
-        """Read packets, and count them as dropped, where the node is not ready for long."""
+        """Start reading after LONGEST_QUEUE_SECONDS; a node that is not ready drops the packets."""
         await asyncio.sleep(LONGEST_QUEUE_SECONDS if self._mechanisms.waiting_packets else 0.0)
         self._packets.start()
         await asyncio.Event().wait()
@@ -241,12 +243,12 @@
             self.log.flush()
 
     def _send_all(self) -> None:
-        """Send what the outcome of a check leads to: resets, and word to other nodes."""
+        """Send the resets and the messages to other nodes that follow from a backend check."""
         self._packets.send_resets()
         self.follower.send()
 
     def _schedule_deadline(self) -> None:
-        """Judge openings and requests without an answer as soon as their time is over."""
+        """Set a timer for the next opening or request whose answer deadline expires."""
         due = self.core.router.flows.next_judgement()
         if due is not None and self._deadline_timer is None:
             self._deadline_timer = asyncio.get_running_loop().call_at(due, self._handle_deadline)
@@ -257,7 +259,10 @@
         self._schedule_deadline()
 
     def _handle_signals(self) -> None:
-        """Obey signals in the loop; the loop's own way would load `inspect` before it is needed."""
+        """Handle signals in the event loop.
+
+        `loop.add_signal_handler` would import `inspect`, which a start does not need otherwise.
+        """
         loop = asyncio.get_running_loop()
         for number, handler in (
             (signal.SIGTERM, self.request_stop),
@@ -279,7 +284,7 @@
         self.log.flush()
 
     def _record_progress(self) -> None:
-        """Tell once that the node has become ready, and how it came to be so."""
+        """Record the progress of the start; log readiness once and start reading packets."""
         self.start.note_progress(self.core)
         if self.ready and not self._was_ready:
             self._was_ready = True
@@ -292,7 +297,7 @@
             self.decisions.life("Ready", version=version, backends=len(self.core.router.backends))
 
     def _before_packets(self, now: float) -> None:
-        """After a stall, let old opening packets go: see PacketSocket."""
+        """After a stall, drop the opening packets that are queued in the socket's buffer."""
         if self._mechanisms.discard_after_stall and self.core.take_stall(now):
             self._packets.discard_waiting_openings()
 
@@ -321,26 +326,26 @@
 
 
 def _evacuation_times(settings: TokenNodeSettings, mechanisms: Mechanisms) -> ReadingTimes | None:
-    """Return the times for evacuations; None where operators cannot ask for them."""
+    """Return the times for evacuations; None where the settings do not provide for them."""
     if settings.evacuate_seconds is None:
         return None
     return evacuation_reading_times(settings.evacuate_seconds, settings.contact_seconds, mechanisms)
 
 
 def first_tick_seconds(rng: random.Random, mechanisms: Mechanisms) -> float:
-    """Return how long after its start a node's ticks begin."""
+    """Return the delay before a node's ticks begin."""
     return rng.uniform(0.0, TICK_SECONDS) if mechanisms.spread_ticks else 0.0
 
 
 def _call_in_loop(
     loop: asyncio.AbstractEventLoop, handler: Callable[[], None], _number: int, _frame: object
 ) -> None:
-    """Handle a signal: wake the loop, which calls `obey` between two other callbacks."""
+    """Schedule `handler` in the event loop, as the handler of a signal."""
     loop.call_soon_threadsafe(handler)
 
 
 def _origin(error: BaseException) -> str:
-    """Return file and line at which an error was raised."""
+    """Return the file and line that raised an error."""
     trace = error.__traceback__
     while trace is not None and trace.tb_next is not None:
         trace = trace.tb_next
--- a/src/beamloom/runtime/token_node_main.py
+++ b/src/beamloom/runtime/token_node_main.py
@@ -1,6 +1,6 @@
 """The program of a token node: `python3 -m beamloom.runtime.token_node_main`.
 
-The platform starts it by way of start.py, which takes less time.
+The platform runs start.py instead, which starts faster.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from beamloom.runtime.signal_mask import block_signals
 
 if __name__ == "__main__":
-    block_signals()  # before what takes the most time of a start
+    block_signals()  # before the imports, which take most of a start
 
 import functools
 import gc
@@ -31,16 +31,16 @@
 
 EXIT_SETTINGS = 2
 FULL_COLLECTION_THRESHOLD = 1000
-"""Collections of the middle generation before a full one. A full one looks through all open flows,
-and packets wait meanwhile; next to nothing that a node makes is freed by it.
+"""Collections of the middle generation between full ones. A full collection traverses all open
+flows and delays packets meanwhile, and frees almost nothing.
 """
 
 
 def main(on_loaded: Callable[[], None] = lambda: None) -> int:
-    """Run one node; return the exit status. `on_loaded` is called when all is imported.
+    """Run one node; return the exit status. `on_loaded` is called after the imports.
 
-    The packets' socket is bound before most modules are imported: what arrives meanwhile waits
-    there and is answered as soon as the node is ready.
+    The packet socket is bound before most modules are imported: its buffer holds the packets that
+    arrive until the node is ready.
     """
     timeline = begin_timeline(IMPORTED_AT_SECONDS, IMPORTED_AT_PROCESSOR_SECONDS)
     read = functools.partial(read_settings, settings_path())
@@ -67,7 +67,7 @@
 
 
 def load_node() -> type[TokenNode]:
-    """Import all that a node needs before it is ready, and nothing else."""
+    """Import only the modules that a node needs before it is ready; return the node's class."""
     with deferred():
         with _missing("ssl"):
             import asyncio  # noqa: F401
@@ -79,7 +79,7 @@
 
 @contextmanager
 def _missing(module: str) -> Iterator[None]:
-    """Let a module be missing: asyncio does without `ssl`, which takes a tenth of a start."""
+    """Make imports of a module fail: asyncio works without `ssl`, a tenth of a start's time."""
     sys.modules[module] = None  # type: ignore[assignment]
     try:
         yield
@@ -89,7 +89,7 @@
 
 @contextmanager
 def _no_collections() -> Iterator[None]:
-    """Let no garbage be collected: what imports make stays, and is not looked through again."""
+    """Disable garbage collection, then exempt all objects made meanwhile from later ones."""
     gc.disable()
     try:
         yield
@@ -100,7 +100,7 @@
 
 
 def collect_rarely() -> None:
-    """Let collections look through all objects only after very many of the younger ones."""
+    """Run a full collection only after FULL_COLLECTION_THRESHOLD of the middle generation."""
     young, middle, _ = gc.get_threshold()
     gc.set_threshold(young, middle, FULL_COLLECTION_THRESHOLD)
 
