--- a/src/beamloom/runtime/fleet_secret.py
+++ b/src/beamloom/runtime/fleet_secret.py
@@ -112,7 +112,7 @@
         if is_old or (from_peer and steps.found_none):
             self._check_needed.set()
         if steps.era is not None:
-            self.note_era(steps.era)
+            self.record_era(steps.era)
 
     async def keep(self) -> None:
         """Check the secret in the store whenever it may be lost, until cancelled."""
@@ -123,7 +123,7 @@
             self._check_needed.clear()
             await self._check_store()
 
-    def note_era(self, era: int) -> None:
+    def record_era(self, era: int) -> None:
         """Record an era of the store; one later than the last requires a check."""
         if self._era is not None and era > self._era:
             self._check_needed.set()
@@ -139,7 +139,7 @@
         else:
             self._keeper.secret = self.known[0]
 
-    def note_member(self, host: str, now: float) -> None:
+    def record_member(self, host: str, now: float) -> None:
         """Record that a host has sent a message signed with the secret."""
         if self._keeper is not None:
             self._keeper.note_member(host, now)
--- a/src/beamloom/runtime/planned_stop.py
+++ b/src/beamloom/runtime/planned_stop.py
@@ -15,7 +15,7 @@
 MISSES_NEEDED = 2
 SHORTEST_PROBE_GAP_SECONDS = 0.3
 """Each router probes twice a second, so answers closer together went to different routers."""
-LATE_PACKETS_SECONDS = 0.15
+IN_TRANSIT_SECONDS = 0.15
 """Time for packets in transit when the routers stopped using the node."""
 LONGEST_FORWARD_SECONDS = 2.5
 """How long to keep forwarding at most, for example if no router probes."""
@@ -85,7 +85,7 @@
 
     async def _wait_for_routers(self) -> None:
         await self._routers_left.wait()
-        await asyncio.sleep(LATE_PACKETS_SECONDS)
+        await asyncio.sleep(IN_TRANSIT_SECONDS)
 
 
 async def _within(seconds: float, steps: Coroutine[None, None, None]) -> None:
--- a/src/beamloom/runtime/start_timeline.py
+++ b/src/beamloom/runtime/start_timeline.py
@@ -64,7 +64,7 @@
         self.forwarded_seconds = LatencyHistogram()
         self.forwarded_processor_seconds = LatencyHistogram()
 
-    def note(self, moment: Moment, now: float, processor_seconds: float) -> None:
+    def record(self, moment: Moment, now: float, processor_seconds: float) -> None:
         """Record the first occurrence of a moment; later ones are ignored."""
         if moment not in self.seconds:
             self.seconds[moment] = now - self.began_at
@@ -115,24 +115,24 @@
         self.timeline = timeline
         self._log_event = log_event
 
-    def note(self, moment: Moment) -> None:
+    def record(self, moment: Moment) -> None:
         """Record a moment; the first forwarded packet ends the start."""
-        note_now(self.timeline, moment)
+        record_now(self.timeline, moment)
         if moment == "packet_forwarded":
             self._end()
 
-    def note_progress(self, core: TokenCore) -> None:
+    def record_progress(self, core: TokenCore) -> None:
         """Record which prerequisites of readiness the node has."""
         if "ready" in self.timeline.seconds:
             return
         if core.router.codec is not None:
-            self.note("key")
+            self.record("key")
         if core.router.routes.version >= 0:
-            self.note("configuration")
+            self.record("configuration")
         if core.backend_watch.records_read:
-            self.note("first_backends")
+            self.record("first_backends")
         if core.backends.revision is not None:
-            self.note("last_backends")
+            self.record("last_backends")
 
     def advance(self, now: float) -> None:
         """Report a start that takes too long; to be called a few times a second."""
@@ -158,13 +158,13 @@
     known = 0.0 < processor_seconds <= LONGEST_INTERPRETER_SECONDS
     began_at = first_at - processor_seconds if known else first_at
     timeline = StartTimeline(began_at, knows_processor_time=known)
-    timeline.note("interpreter", first_at, processor_seconds)
+    timeline.record("interpreter", first_at, processor_seconds)
     return timeline
 
 
-def note_now(timeline: StartTimeline, moment: Moment) -> None:
+def record_now(timeline: StartTimeline, moment: Moment) -> None:
     """Record a moment on the clocks of this process."""
-    timeline.note(moment, time.monotonic(), time.process_time())
+    timeline.record(moment, time.monotonic(), time.process_time())
 
 
 def _milliseconds(seconds: float) -> float:
--- a/src/beamloom/runtime/store_follower.py
+++ b/src/beamloom/runtime/store_follower.py
@@ -144,7 +144,7 @@
         views = (reader.watch.view for reader in self.readers)
         revisions = [view.revision for view in views if view.revision is not None]
         if revisions:
-            self.secret.note_era(era_of(max(revisions)))
+            self.secret.record_era(era_of(max(revisions)))
 
     def _log_peer_changes(self) -> None:
         """Log when the last peer is lost, and when there are peers again."""
@@ -209,7 +209,7 @@
         self._apply_secrets()
 
     def _handle_message(self, host: str, message: Message) -> None:
-        self.secret.note_member(host, _now())
+        self.secret.record_member(host, _now())
         try:
             self._core.handle_message(host, message, _now())
         except (TypeError, ValueError) as error:
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -114,9 +114,9 @@
             self._log_packet_fault,
             self._before_packets,
             self._schedule_deadline,
-            on_first=self.start.note,
+            on_first=self.start.record,
         )
-        self._checker = BackendChecker(self.core.checks, settings.host, self._send_all)
+        self._checker = BackendChecker(self.core.checks, settings.host, self._send_pending)
         self._deadline_timer: asyncio.TimerHandle | None = None
         self._responder = HttpResponder(
             {store_objects.READINESS_PATH: self._answer_readiness}, ConnectionKind.READINESS
@@ -183,7 +183,7 @@
 
     async def _serve(self) -> None:
         await self._responder.start(*self.settings.readiness.pair)
-        self.start.note("listening")
+        self.start.record("listening")
         await self._start_metrics()
         self.decisions.life("Started", zone=self.settings.zone)
         self._log_unusable_limits()
@@ -242,7 +242,7 @@
             self.start.advance(now)
             self.log.flush()
 
-    def _send_all(self) -> None:
+    def _send_pending(self) -> None:
         """Send the resets and the messages to other nodes that follow from a backend check."""
         self._packets.send_resets()
         self.follower.send()
@@ -285,10 +285,10 @@
 
     def _record_progress(self) -> None:
         """Record the progress of the start; log readiness once and start reading packets."""
-        self.start.note_progress(self.core)
+        self.start.record_progress(self.core)
         if self.ready and not self._was_ready:
             self._was_ready = True
-            self.start.note("ready")
+            self.start.record("ready")
             if time.monotonic() - self._started_at > LONGEST_OPENING_WAIT_SECONDS:
                 self._packets.start_without_waiting_openings()
             else:
@@ -317,9 +317,9 @@
         return HttpAnswer(200, render(make_registry(partial(read_metrics, self))))
 
     def _answer_readiness(self) -> HttpAnswer:
-        self.start.note("readiness_asked")
+        self.start.record("readiness_asked")
         if self.ready:
-            self.start.note("readiness_answered")
+            self.start.record("readiness_answered")
             return HttpAnswer(200, b"ready\n")
         self._stop.record_miss(asyncio.get_running_loop().time())
         return HttpAnswer(503, b"not ready\n")
--- a/src/beamloom/runtime/token_node_main.py
+++ b/src/beamloom/runtime/token_node_main.py
@@ -23,7 +23,7 @@
 from beamloom.runtime import IMPORTED_AT_PROCESSOR_SECONDS, IMPORTED_AT_SECONDS
 from beamloom.runtime.bound_socket import bind_datagrams
 from beamloom.runtime.deferred_modules import deferred
-from beamloom.runtime.start_timeline import begin_timeline, note_now
+from beamloom.runtime.start_timeline import begin_timeline, record_now
 from beamloom.settings.mechanisms import UnknownMechanismError, read_mechanisms
 
 if TYPE_CHECKING:
@@ -47,16 +47,16 @@
     try:
         mechanisms = read_mechanisms(os.environ)
         settings = read()
-        note_now(timeline, "settings")
+        record_now(timeline, "settings")
         packets = bind_datagrams(settings.packets)
-        note_now(timeline, "socket")
+        record_now(timeline, "socket")
     except (PlatformSettingsError, UnknownMechanismError, OSError) as error:
         print(error, file=sys.stderr)
         return EXIT_SETTINGS
     with _no_collections():
         token_node = load_node()
         on_loaded()
-    note_now(timeline, "modules")
+    record_now(timeline, "modules")
     import asyncio
 
     async def run() -> None:
