--- a/tests/functional/silent_proxy.py
+++ b/tests/functional/silent_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback whose connections fall silent for good, while new ones work."""
+"""A TCP proxy on loopback whose connections go silent for good, while new ones work."""
 
 import asyncio
 import contextlib
@@ -9,17 +9,17 @@
 
 CHUNK_BYTES = 65_536
 SO_ATTACH_FILTER = 26
-"""Linux; `socket` has no name for it."""
+"""Linux socket option that `socket` does not define."""
 RETURN_CONSTANT = 0x06
 DROP = struct.pack("HBBI", RETURN_CONSTANT, 0, 0, 0)
-"""A filter of one instruction: take none of the packet's bytes (BPF)."""
+"""A BPF program of one instruction, which accepts 0 bytes of each packet."""
 
 
 class Silence(Enum):
-    """Who still answers on a silent connection.
+    """What still answers on a silent connection.
 
-    KERNEL: the other machine's kernel does, but no byte passes it. NOBODY: packets are dropped,
-    those of probes and repetitions too.
+    KERNEL: the kernel still acknowledges data, but the proxy forwards none. NOBODY: all packets are
+    dropped, also keep-alive probes and retransmissions.
     """
 
     KERNEL = "kernel"
@@ -27,13 +27,13 @@
 
 
 class _Tunnel:
-    """One connection, and the one to the server that goes with it."""
+    """A client's connection and its connection to the server."""
 
     def __init__(self, writer: asyncio.StreamWriter, server_writer: asyncio.StreamWriter) -> None:
         self.writers = (writer, server_writer)
         self.silent = False
 
-    def fall_silent(self, silence: Silence) -> None:
+    def go_silent(self, silence: Silence) -> None:
         self.silent = True
         if silence is Silence.NOBODY:
             _drop_all_packets(self.writers[0].get_extra_info("socket"))
@@ -46,8 +46,9 @@
 class SilentProxy:
     """Forwards connections to `target`.
 
-    `answer_bytes` is how many bytes of answers may pass from now on before their connection falls
-    silent in the way of `silence`, `request_bytes` the same for requests; no limit where None.
+    `answer_bytes` limits the size of a block of answer data, `request_bytes` that of request data;
+    None means no limit. The first block that exceeds its limit is cut to it and its connection goes
+    silent in the way of `silence`; both limits then end.
     """
 
     def __init__(self, target: tuple[str, int], silence: Silence = Silence.NOBODY) -> None:
@@ -74,10 +75,10 @@
         while self._tunnels:
             await asyncio.sleep(0.01)
 
-    def fall_silent(self) -> None:
-        """Let every connection there is fall silent."""
+    def go_silent(self) -> None:
+        """Make all open connections go silent."""
         for tunnel in self._tunnels:
-            tunnel.fall_silent(self.silence)
+            tunnel.go_silent(self.silence)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.opened += 1
@@ -104,17 +105,17 @@
     ) -> None:
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(CHUNK_BYTES):
-                passing = b"" if tunnel.silent else self._take(data, tunnel, answers=answers)
+                passing = b"" if tunnel.silent else self._limit(data, tunnel, answers=answers)
                 writer.write(passing)
                 await writer.drain()
 
-    def _take(self, data: bytes, tunnel: _Tunnel, *, answers: bool) -> bytes:
-        """Return what of the data may pass."""
+    def _limit(self, data: bytes, tunnel: _Tunnel, *, answers: bool) -> bytes:
+        """Return the part of a block that is forwarded; the rest is dropped."""
         limit = self.answer_bytes if answers else self.request_bytes
         if limit is None or len(data) <= limit:
             return data
         self.answer_bytes = self.request_bytes = None
-        tunnel.fall_silent(self.silence)
+        tunnel.go_silent(self.silence)
         return data[:limit]
 
 
--- a/tests/functional/test_backend_check.py
+++ b/tests/functional/test_backend_check.py
@@ -1,4 +1,4 @@
-"""Checks of backends on real sockets: what a listener, a closed port and a silent one tell."""
+"""Checks of backends on real sockets: a listener, a closed port and a silent port."""
 
 import asyncio
 import socket
@@ -21,8 +21,8 @@
         done = asyncio.Event()
         checker = BackendChecker(checks, HOST, done.set)
         began_at = time.monotonic()
-        held = Backend(backend(1, port=port), 1)
-        checks.suspect(held, Suspicion.REPORTED, asyncio.get_running_loop().time())
+        target = Backend(backend(1, port=port), 1)
+        checks.suspect(target, Suspicion.REPORTED, asyncio.get_running_loop().time())
         await asyncio.wait_for(done.wait(), 5.0)
         checker.close()
         outcomes = {outcome.value for outcome in CheckOutcome}
@@ -45,14 +45,14 @@
         self.assertEqual((await self.check(port))[0], "refused")
 
     async def test_a_port_that_answers_nothing_is_silent_after_all_attempts(self) -> None:
-        """A full queue of connections drops what opens another one, as a dark machine would."""
+        """A listener with a full backlog drops SYNs, like a machine that is down."""
         server = self.listen(0)
         port = server.getsockname()[1]
         for _ in range(4):
-            filler = socket.socket()
-            filler.setblocking(False)
-            filler.connect_ex((HOST, port))
-            self.addCleanup(filler.close)
+            pending = socket.socket()
+            pending.setblocking(False)
+            pending.connect_ex((HOST, port))
+            self.addCleanup(pending.close)
         outcome, seconds = await self.check(port)
         self.assertIn(outcome, {"silent", "unclear"})
         self.assertGreaterEqual(seconds, CHECK_ATTEMPT_SECONDS)
--- a/tests/functional/test_health_checks.py
+++ b/tests/functional/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks over HTTP: good answers, and each way in which an endpoint misleads."""
+"""Health checks over HTTP: valid answers, invalid ones, and endpoints that do not answer."""
 
 import asyncio
 import unittest
@@ -45,7 +45,7 @@
         self.assertGreater(event.answer_seconds, 0.0)
         self.assertFalse(self.checks.execute(StopWatch(1)))
 
-    async def test_misleading_answers_count_as_not_healthy(self) -> None:
+    async def test_invalid_answers_count_as_not_healthy(self) -> None:
         answers = (
             web.Response(status=500),
             web.Response(status=302, headers={"Location": "/health"}),
@@ -65,7 +65,7 @@
                 self.assertFalse((await self.check()).healthy)
         self.assertEqual(self.checks.counters["failed"], len(answers))
 
-    async def test_answer_may_bring_the_next_check_at_once(self) -> None:
+    async def test_answer_may_start_the_next_check_at_once(self) -> None:
         def deliver(event: Event) -> None:
             if self.events.empty():
                 self.checks.execute(CheckBackend(7, self.address))
--- a/tests/functional/test_mechanisms.py
+++ b/tests/functional/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms that only a whole node shows, each switched off by the variable that names it."""
+"""Mechanisms that need a whole node to test, each compared with a node that has it disabled."""
 
 import asyncio
 import signal
@@ -9,13 +9,13 @@
 from beamloom.settings.mechanisms import MECHANISMS_VARIABLE
 from tests.functional.token_node_case import METRICS_PORT, TokenNodeCase
 
-ASKING_SECONDS = 2.5
+PEER_REQUEST_SECONDS = 2.5
 """Longer than a node waits before it asks its peers for the key."""
 STALL_SECONDS = 1.5
-READING_SECONDS = 3.0
-"""By then a node that is alone reads the store, and its watches wait."""
+READER_STARTED_SECONDS = 3.0
+"""After this time a node without peers is a reader, and its watches wait for changes."""
 WATCH_DEADLINE_SECONDS = 2.9
-"""Of bounds of 5 s: 0.75 times a staleness of 3 s, and the patience of 0.7 s."""
+"""With bounds of 5 s: a wait of 2.2 s (see `reading_times`) plus CALL_PATIENCE_SECONDS (0.7 s)."""
 LATE_OPENINGS = 'event="dropped_late_opening"'
 NO_KEY = 'event="dropped_no_key"'
 
@@ -23,7 +23,7 @@
 class MechanismsTest(TokenNodeCase):
     network = "127.62.0"
 
-    def off(self, *names: str) -> Mapping[str, str]:
+    def environment_without(self, *names: str) -> Mapping[str, str]:
         return {MECHANISMS_VARIABLE: ",".join(names)}
 
     async def dropped(self, number: int, reason: str) -> float:
@@ -32,7 +32,7 @@
         values = [line.split()[-1] for line in text.splitlines() if reason in line]
         return sum(map(float, values))
 
-    async def test_without_the_peers_key_a_start_waits_for_the_store(self) -> None:
+    async def test_without_key_from_peers_a_start_needs_the_store(self) -> None:
         self.add_endpoint(1)
         self.configure(1, "tracker")
         self.start_node(1)
@@ -43,16 +43,16 @@
         self.store.faults.unavailable = True
         second.kill()
         second.wait()
-        self.start_node(2, self.off("key_from_peers"))
-        await asyncio.sleep(ASKING_SECONDS)
+        self.start_node(2, self.environment_without("key_from_peers"))
+        await asyncio.sleep(PEER_REQUEST_SECONDS)
         self.assertNotEqual(await self.readiness(2), 200)
 
-    async def test_opening_packets_that_waited_out_a_stall(self) -> None:
+    async def test_opening_packets_queued_during_a_stall_are_dropped(self) -> None:
         self.add_endpoint(1)
         self.configure(1, "tracker")
         for names, expected in (((), 1.0), (("discard_after_stall",), 0.0)):
             with self.subTest(off=names):
-                node = self.start_node(1, self.off(*names))
+                node = self.start_node(1, self.environment_without(*names))
                 await self.wait_until_ready(1)
                 await asyncio.sleep(0.5)
                 node.send_signal(signal.SIGSTOP)
@@ -65,12 +65,12 @@
                 node.kill()
                 node.wait()
 
-    async def test_packets_that_come_before_a_node_is_ready(self) -> None:
+    async def test_packets_before_readiness_wait_in_the_socket(self) -> None:
         self.add_endpoint(1)
         self.store.faults.unavailable = True
         for names, expected in (((), 0.0), (("waiting_packets",), 1.0)):
             with self.subTest(off=names):
-                node = self.start_node(1, self.off(*names))
+                node = self.start_node(1, self.environment_without(*names))
                 await self.wait_until_ready(1, status=503)
                 self.send(1, self.new_flow(2100).advance(time.monotonic()))
                 await asyncio.sleep(0.3)
@@ -78,27 +78,27 @@
                 node.kill()
                 node.wait()
 
-    async def test_a_connection_that_falls_silent_as_a_watch_begins(self) -> None:
+    async def test_a_connection_that_goes_silent_as_a_watch_begins_is_detected(self) -> None:
         self.add_endpoint(1)
         self.configure(1, "tracker")
         self.bounds = {"config-apply-ms": 5000, "drain-ms": 5000, "contact-ms": 5000}
-        proxy = await self.put_proxy_before_store()
-        for names, noticed in (((), True), (("silence_probes",), False)):
+        proxy = await self.start_store_proxy()
+        for names, detected in (((), True), (("silence_probes",), False)):
             with self.subTest(off=names):
-                node = self.start_node(1, self.off(*names))
+                node = self.start_node(1, self.environment_without(*names))
                 await self.wait_until_ready(1)
-                await asyncio.sleep(READING_SECONDS)
+                await asyncio.sleep(READER_STARTED_SECONDS)
                 proxy.request_bytes = 0
-                event = "ConnectionSilent" if noticed else "DependencyLost"
+                event = "ConnectionSilent" if detected else "DependencyLost"
                 await self.wait_for_line(1, event, seconds=2 * WATCH_DEADLINE_SECONDS)
                 events = {line["event"] for line in self.lines(1)}
                 node.kill()
                 node.wait()
-                self.assertEqual("DependencyLost" in events, not noticed)
-                self.assertEqual("ConnectionSilent" in events, noticed)
+                self.assertEqual("DependencyLost" in events, not detected)
+                self.assertEqual("ConnectionSilent" in events, detected)
 
-    async def test_an_unknown_name_ends_the_start_with_a_remedy(self) -> None:
-        node = self.start_node(1, self.off("haste"))
+    async def test_an_unknown_mechanism_fails_the_start_with_a_remedy(self) -> None:
+        node = self.start_node(1, self.environment_without("haste"))
         self.assertEqual(await asyncio.to_thread(node.wait, 5.0), 2)
         self.assertIn("no such mechanism: haste; give some of", self.logs())
 
--- a/tests/functional/test_restored_store.py
+++ b/tests/functional/test_restored_store.py
@@ -1,4 +1,4 @@
-"""Real nodes and a store that comes back from an older copy: what they wrote, and hear."""
+"""Real nodes and a store that is restored from an older copy: the secret, and later changes."""
 
 import asyncio
 import signal
@@ -16,8 +16,8 @@
 
 LONG = FlowPlan(requests=6, rest_seconds=0.5)
 OTHER_SECRET = {"key": "0f" * 16}
-LATE_NEIGHBOUR_SECONDS = 1.0
-"""Of a start of some 0.3 s: longer than a node waits that may be the first of all."""
+LATE_PEER_SECONDS = 1.0
+"""Longer than a node of a new fleet waits for peers before it creates a secret."""
 
 
 class RestoredStoreTest(TokenNodeCase):
@@ -29,7 +29,7 @@
         self.add_endpoint(1)
         self.add_endpoint(2)
         self.configure(3, "tracker")
-        self.before = self.store.store.copy()
+        self.copy_before_start = self.store.store.copy()
 
     def write_settings(self, number: int) -> Path:
         path = super().write_settings(number)
@@ -46,15 +46,15 @@
         await asyncio.sleep(1.5)
 
     async def restore(self) -> None:
-        """Let the store be away for a moment and come back as it was before any node ran."""
+        """Restore the store, after a short outage, to its state before any node started."""
         self.store.faults.unavailable = True
         await asyncio.sleep(0.5)
-        self.store.store.restore(self.before)
+        self.store.store.restore(self.copy_before_start)
         self.store.faults.unavailable = False
         self.store.note_change()
 
     async def drain_after_restore(self) -> None:
-        """Let the store lose a dozen versions, and a backend drain below the known revision."""
+        """Restore the store without a dozen versions, then drain a backend at a lower revision."""
         await self.start_two()
         for version in range(4, 16):
             self.configure(version, "tracker")
@@ -69,11 +69,13 @@
         except NoSuchObjectError:
             return None
 
-    async def test_the_fleets_secret_is_there_again_and_who_starts_has_the_same(self) -> None:
+    async def test_the_secret_is_restored_and_a_new_node_uses_it(self) -> None:
         await self.start_two()
-        held = self.secret()
+        secret_before = self.secret()
         await self.restore()
-        await self.wait_until(lambda: self.secret() == held, 6.0, "the secret is not there again")
+        await self.wait_until(
+            lambda: self.secret() == secret_before, 6.0, "the secret was not restored"
+        )
         self.start_node(3)
         await self.wait_until_ready(3)
         flows = [self.new_flow(2000 + number, LONG) for number in range(4)]
@@ -84,9 +86,9 @@
         await self.play(3, flows, 12.0)
         self.assertEqual({flow.state for flow in flows}, {FlowState.DONE})
 
-    async def test_who_starts_before_it_is_there_again_asks_its_neighbours(self) -> None:
+    async def test_a_node_that_starts_before_that_gets_the_secret_from_a_peer(self) -> None:
         await self.start_two()
-        held = self.secret()
+        secret_before = self.secret()
         second = self.nodes["node-2"]
         second.kill()
         second.wait()
@@ -94,19 +96,17 @@
         await self.restore()
         self.start_node(2)
         await self.wait_until_ready(2)
-        await self.wait_until(lambda: self.secret() == held, 6.0, "another secret was made")
+        await self.wait_until(
+            lambda: self.secret() == secret_before, 6.0, "another secret was made"
+        )
         await self.wait_for_line(2, "SecretKnown")
         sources = [line["source"] for line in self.lines(2) if line["event"] == "SecretKnown"]
         self.assertEqual(sources[-1], "peer")
 
-    async def test_who_starts_then_and_hears_its_neighbours_late_makes_no_other(self) -> None:
-        """Told on a page, on no list: two secrets for about a second, and packets dropped.
-
-        A node made another secret where no neighbour had answered within 0.15 s of a start, though
-        its settings tell that the fleet has started before, and so had one.
-        """
+    async def test_a_late_answer_of_a_peer_leads_to_no_other_secret(self) -> None:
+        """A node creates no second secret if its settings say that the fleet has started before."""
         await self.start_two()
-        held = self.secret()
+        secret_before = self.secret()
         first, second = self.nodes["node-1"], self.nodes["node-2"]
         second.kill()
         second.wait()
@@ -114,20 +114,20 @@
         self.has_started_before = True
         await self.restore()
         self.start_node(2)
-        await asyncio.sleep(LATE_NEIGHBOUR_SECONDS)
+        await asyncio.sleep(LATE_PEER_SECONDS)
         first.send_signal(signal.SIGCONT)
         await self.wait_until_ready(2)
         await self.wait_for_line(2, "SecretKnown")
         await self.wait_until(lambda: self.secret() is not None, 6.0, "there is no secret")
-        self.assertEqual(self.secret(), held)
+        self.assertEqual(self.secret(), secret_before)
         self.assertNotIn("SecretChanged", self.logs())
 
-    async def test_another_secret_that_is_there_first_holds_and_open_flows_go_on(self) -> None:
+    async def test_another_secret_in_the_store_is_adopted_and_open_flows_continue(self) -> None:
         await self.start_two()
         flows = [self.new_flow(2000 + number, LONG) for number in range(4)]
         playing = asyncio.create_task(self.play(1, flows, 15.0))
         await asyncio.sleep(0.8)
-        self.store.store.restore(self.before)
+        self.store.store.restore(self.copy_before_start)
         self.store.store.put(SECRETS_KIND, TOKEN_SECRET_NAME, OTHER_SECRET)
         self.store.note_change()
         for number in (1, 2):
@@ -143,7 +143,7 @@
         for number in (1, 2):
             await self.wait_until(lambda number=number: self.is_draining(number), 2.5)
 
-    async def test_what_is_written_below_the_known_revision_is_heard(self) -> None:
+    async def test_changes_below_the_known_revision_are_applied(self) -> None:
         await self.drain_after_restore()
         self.configure(17, "tracker")
         for number in (1, 2):
@@ -151,13 +151,13 @@
             await self.wait_until(lambda number=number: self.version(number) == 17, 2.5)
         self.assertNotIn("OlderList", self.logs())
 
-    async def test_a_store_that_does_not_tell_its_era_is_followed_all_the_same(self) -> None:
+    async def test_a_restored_store_without_eras_is_followed(self) -> None:
         self.store.tells_era = False
         await self.drain_after_restore()
         for number in (1, 2):
             await self.wait_until(lambda number=number: self.is_draining(number), 2.5)
 
-    async def test_other_writers_entries_cost_nobody_anything(self) -> None:
+    async def test_unreadable_entries_of_other_writers_are_ignored(self) -> None:
         await self.start_two()
         host, port = self.endpoints[0].address
         entries: list[object] = [
--- a/tests/functional/test_route_terms.py
+++ b/tests/functional/test_route_terms.py
@@ -1,4 +1,4 @@
-"""A token node as a process whose configuration has a term that cannot be read."""
+"""A token node whose configuration has a route with an unreadable term."""
 
 import unittest
 
@@ -16,8 +16,8 @@
         self.start_node(1)
         await self.wait_until_ready(1)
         await self.wait_for_line(1, "TermsUnreadable")
-        told = [line for line in self.lines(1) if line["event"] == "TermsUnreadable"]
-        self.assertIn("priority", str(told[0]["terms"]))
+        events = [line for line in self.lines(1) if line["event"] == "TermsUnreadable"]
+        self.assertIn("priority", str(events[0]["terms"]))
         flow = self.new_flow(2000)
         await self.play(1, [flow])
         self.assertIs(flow.state, FlowState.DONE)
--- a/tests/functional/test_signals.py
+++ b/tests/functional/test_signals.py
@@ -1,21 +1,7 @@
-"""Signals at every moment of a node's life.
+"""Signals during the start and the stop of a node must not end it.
 
-What operators saw: a node to which its platform told, right after a planned restart, that its
-settings have changed was gone (exit status -1), and with it all that it was about to serve; and one
-that had stopped as planned seemed to have been killed.
-
-Why: the node's handlers were installed when all of its modules had been imported, and the
-interpreter takes them back as it shuts down. Before and after, the default action of SIGHUP and
-SIGTERM ends a process. On a small or busy machine that is seconds of each start.
-
-The evidence: SIGHUP at moments after a node was made, 4 tries at each, beside 4 other busy
-processes. Started as deployed it ended the node in all tries until 50 ms and in some until 80 ms;
-started by `python -m`, in all until 100 ms and some until 200 ms. A bare interpreter that blocks
-signals in its first line is ended until 12 ms. SIGHUP every 0.5 ms from SIGTERM on: status -1.
-
-Signals are blocked from the first own line to the handlers, and again from the end of service to
-that of the process. What is sent while the interpreter itself still starts, no program can take,
-unless whoever starts it blocks the signals: what is blocked then is obeyed as well.
+Signals are blocked until the handlers are installed, and again while the interpreter shuts down.
+While the interpreter itself starts, only the parent process can block them.
 """
 
 import asyncio
@@ -36,12 +22,12 @@
 from tests.functional.node_case import NodeTestCase
 from tests.functional.token_node_case import TokenNodeCase
 
-GAP_SECONDS = 0.0005
-LONGEST_END_SECONDS = 12.0
+SEND_INTERVAL_SECONDS = 0.0005
+LONGEST_EXIT_SECONDS = 12.0
 NEVER_READY_SECONDS = 2.0
-"""Less than a node forwards on for where no router asks it."""
+"""Less than a node that was ready keeps forwarding if no router probes it."""
 STARTS = 3
-TELL_BLOCKED = """
+PRINT_BLOCKED = """
 import _signal
 print(*sorted(map(int, _signal.pthread_sigmask(_signal.SIG_BLOCK, ()))))
 raise SystemExit
@@ -49,19 +35,19 @@
 BALANCER = "import sys; from beamloom.cli.main import main; sys.exit(main())"
 
 
-def wait_until_held(node: subprocess.Popen[bytes]) -> None:
-    """Return as soon as the program has run its first line, or has ended."""
-    end = time.monotonic() + LONGEST_END_SECONDS
+def wait_until_blocked(node: subprocess.Popen[bytes]) -> None:
+    """Return as soon as a process blocks or handles SIGHUP, or has ended."""
+    end = time.monotonic() + LONGEST_EXIT_SECONDS
     while not holds(node.pid, signal.SIGHUP) and node.poll() is None and time.monotonic() < end:
         pass
 
 
-def flood(node: subprocess.Popen[bytes], is_enough: Callable[[], bool] = lambda: False) -> None:
-    """Send SIGHUP all the time, until it is enough, the process has ended or it takes long."""
-    end = time.monotonic() + LONGEST_END_SECONDS
-    while node.poll() is None and not is_enough() and time.monotonic() < end:
+def flood(node: subprocess.Popen[bytes], is_done: Callable[[], bool] = lambda: False) -> None:
+    """Send SIGHUP repeatedly until `is_done`, the end of the process or a timeout."""
+    end = time.monotonic() + LONGEST_EXIT_SECONDS
+    while node.poll() is None and not is_done() and time.monotonic() < end:
         node.send_signal(signal.SIGHUP)
-        time.sleep(GAP_SECONDS)
+        time.sleep(SEND_INTERVAL_SECONDS)
 
 
 class SignalsTest(TokenNodeCase):
@@ -73,13 +59,13 @@
         self.configure(1, "tracker")
 
     async def start_flooded(self) -> subprocess.Popen[bytes]:
-        """Start a node that gets SIGHUP all the time from its first own line until it is ready."""
+        """Start a node and send it SIGHUP repeatedly, from its first own line until it is ready."""
         node = self.start_node(1)
-        await asyncio.to_thread(wait_until_held, node)
+        await asyncio.to_thread(wait_until_blocked, node)
         await asyncio.to_thread(flood, node, lambda: '"Ready"' in self.logs())
         return node
 
-    async def assert_lives_through(self, starts: int) -> None:
+    async def assert_survives(self, starts: int) -> None:
         for _ in range(starts):
             node = await self.start_flooded()
             self.assertIsNone(node.poll(), self.logs())
@@ -89,12 +75,12 @@
             self.assertEqual(await asyncio.to_thread(node.wait, 1.0), 0, self.logs())
             self.assertNotIn("Traceback", self.logs())
 
-    async def test_reloads_end_no_node_from_its_first_own_line_on(self) -> None:
-        await self.assert_lives_through(STARTS)
+    async def test_reload_signals_during_start_and_stop_do_not_end_a_node(self) -> None:
+        await self.assert_survives(STARTS)
 
-    async def test_nor_one_that_is_started_as_deployed(self) -> None:
+    async def test_nor_a_node_that_is_started_as_deployed(self) -> None:
         self.start_as_deployed()
-        await self.assert_lives_through(STARTS)
+        await self.assert_survives(STARTS)
 
     def start_as_deployed(self) -> None:
         program = install_program(self.folder)
@@ -102,19 +88,19 @@
         self.enterContext(mock.patch.dict(os.environ, program.environment))
 
     async def test_a_stop_while_a_node_starts_is_a_planned_one(self) -> None:
-        """It waits for nobody: a node that was never ready has nothing to hand over."""
+        """A node that was never ready stops at once with exit status 0."""
         self.start_as_deployed()
         for part in range(STARTS):
             node = self.start_node(1)
-            await asyncio.to_thread(wait_until_held, node)
+            await asyncio.to_thread(wait_until_blocked, node)
             await asyncio.sleep(0.02 * part)
             asked_at = time.monotonic()
             node.send_signal(signal.SIGTERM)
-            status = await asyncio.to_thread(node.wait, LONGEST_END_SECONDS)
+            status = await asyncio.to_thread(node.wait, LONGEST_EXIT_SECONDS)
             self.assertEqual(status, 0, self.logs())
             self.assertLess(time.monotonic() - asked_at, NEVER_READY_SECONDS)
 
-    async def test_nor_does_one_wait_that_the_store_leaves_without_an_answer(self) -> None:
+    async def test_a_stop_while_the_store_does_not_answer_is_immediate(self) -> None:
         self.store.faults.unavailable = True
         node = self.start_node(1)
         await self.wait_until_ready(1, status=503)
@@ -122,27 +108,27 @@
         status = await asyncio.to_thread(node.wait, NEVER_READY_SECONDS)
         self.assertEqual(status, 0, self.logs())
 
-    async def test_nothing_of_a_start_comes_before(self) -> None:
-        """As deployed: the signals are blocked before the first module of the node is imported."""
+    async def test_signals_are_blocked_before_any_import_of_the_node(self) -> None:
+        """start.py blocks the signals before it imports the `beamloom` package."""
         package = self.folder / "beamloom"
         start = package / "runtime" / "start.py"
         start.parent.mkdir(parents=True)
         shutil.copyfile(Path(beamloom.runtime.start.__file__), start)
-        (package / "__init__.py").write_text(TELL_BLOCKED)
+        (package / "__init__.py").write_text(PRINT_BLOCKED)
         run = await asyncio.to_thread(
             subprocess.run,
             [sys.executable, "-S", str(start)],
             capture_output=True,
             text=True,
-            timeout=LONGEST_END_SECONDS,
+            timeout=LONGEST_EXIT_SECONDS,
             check=False,
         )
         self.assertEqual(
             run.stdout.split(), [str(int(number)) for number in sorted(HANDLED_SIGNALS)]
         )
 
-    async def test_whoever_starts_a_node_may_block_the_signals(self) -> None:
-        """What came before its first own line is obeyed then: no moment is left."""
+    async def test_signals_blocked_by_the_parent_process_are_handled_later(self) -> None:
+        """Signals sent before the first own line stay pending until the handlers are installed."""
         block_signals()
         self.addCleanup(unblock_signals)
         node = self.start_node(1)
@@ -152,13 +138,13 @@
         await self.wait_until_ready(1)
         await self.wait_for_line(1, "SettingsReloaded")
         node.send_signal(signal.SIGTERM)
-        self.assertEqual(await asyncio.to_thread(node.wait, LONGEST_END_SECONDS), 0)
+        self.assertEqual(await asyncio.to_thread(node.wait, LONGEST_EXIT_SECONDS), 0)
 
 
 class BalancerSignalsTest(NodeTestCase):
-    """The same of `beamloom run balancer`, which reads its key files anew."""
+    """The same for `beamloom run balancer`, which reads its key files again on SIGHUP."""
 
-    async def test_reloads_end_no_balancer_from_its_first_own_line_on(self) -> None:
+    async def test_reload_signals_during_start_and_stop_do_not_end_a_balancer(self) -> None:
         path = self.write_settings("one")
         log = self.folder / "one.log"
         with log.open("wb") as output:
@@ -170,7 +156,7 @@
             )
         self.addCleanup(node.wait)
         self.addCleanup(node.kill)
-        await asyncio.to_thread(wait_until_held, node)
+        await asyncio.to_thread(wait_until_blocked, node)
         await asyncio.to_thread(flood, node, lambda: b"key_files_read" in log.read_bytes())
         self.assertIsNone(node.poll(), log.read_text())
         node.send_signal(signal.SIGTERM)
--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that fall silent at each moment: who notices, how soon, and what comes next."""
+"""Connections that go silent in each state must be detected and replaced within their limits."""
 
 import asyncio
 import socket
@@ -21,14 +21,14 @@
 from tests.functional.token_node_case import METRICS_PORT, TokenNodeCase
 
 HOST = "127.0.0.1"
-LATE_SECONDS = 1.0
-"""What the kernel's repetitions and a busy machine may add to any of the times."""
-UNNOTICED_SECONDS = UNACKNOWLEDGED_SECONDS + LATE_SECONDS
-UNPROBED_SECONDS = 2 * KEEP_ALIVE_SECONDS + LATE_SECONDS
+DELAY_MARGIN_SECONDS = 1.0
+"""Margin for the kernel's retransmissions and a busy machine."""
+UNACKNOWLEDGED_LIMIT_SECONDS = UNACKNOWLEDGED_SECONDS + DELAY_MARGIN_SECONDS
+PROBE_LIMIT_SECONDS = 2 * KEEP_ALIVE_SECONDS + DELAY_MARGIN_SECONDS
 LIST = list_limits(8.0)
 BODY = bytes(50_000)
 LARGE = bytes(8_000_000)
-"""More than the kernel keeps of what is sent."""
+"""More than the kernel's send buffer holds."""
 
 
 class _Server:
@@ -46,7 +46,7 @@
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError):
             writer.close()
         except asyncio.CancelledError:
-            # The test is over; the stream server would report it as an error.
+            # The test has ended; asyncio's stream server would log the cancellation as an error.
             writer.close()
 
 
@@ -59,8 +59,8 @@
         await self.proxy.start(HOST)
         self.addAsyncCleanup(self.proxy.close)
         self.connection = self.connect()
-        self.found: list[CallFailure] = []
-        self.connection.on_silence = self.found.append
+        self.reported: list[CallFailure] = []
+        self.connection.on_silence = self.reported.append
         await self.call()
 
     def connect(self, *, notices_silence: bool = True) -> HttpConnection:
@@ -74,30 +74,30 @@
     async def failure(
         self, within_seconds: float, limits: CallLimits = LIST, body: bytes = b""
     ) -> CallFailure:
-        """Call in vain, and then on a new connection; return why the first call failed."""
+        """Make a call that fails and one that succeeds on a new connection; return the failure."""
         async with asyncio.timeout(within_seconds):
             with self.assertRaises(CallFailedError) as caught:
                 await self.call(limits, body)
-        self.assertEqual(self.found, [caught.exception.failure])
+        self.assertEqual(self.reported, [caught.exception.failure])
         self.server.pause_seconds = 0.0
         self.assertEqual((await self.call()).body, BODY)
         self.assertEqual(self.proxy.opened, 2)
         return caught.exception.failure
 
     async def test_silent_while_idle(self) -> None:
-        self.proxy.fall_silent()
-        self.assertIs(await self.failure(UNNOTICED_SECONDS), CallFailure.SILENT)
+        self.proxy.go_silent()
+        self.assertIs(await self.failure(UNACKNOWLEDGED_LIMIT_SECONDS), CallFailure.SILENT)
 
     async def test_silent_while_idle_though_its_kernel_answers(self) -> None:
         self.proxy.silence = Silence.KERNEL
-        self.proxy.fall_silent()
+        self.proxy.go_silent()
         limits = watch_limits(0.0)
-        within = limits.deadline_seconds + LATE_SECONDS
+        within = limits.deadline_seconds + DELAY_MARGIN_SECONDS
         self.assertIs(await self.failure(within, limits), CallFailure.DEADLINE)
 
     async def test_silent_in_the_middle_of_a_request(self) -> None:
         self.proxy.request_bytes = 1000
-        failure = await self.failure(UNNOTICED_SECONDS, body=LARGE)
+        failure = await self.failure(UNACKNOWLEDGED_LIMIT_SECONDS, body=LARGE)
         self.assertIs(failure, CallFailure.SILENT)
 
     async def test_silent_in_the_middle_of_an_answer(self) -> None:
@@ -105,32 +105,32 @@
         for silence in Silence:
             with self.subTest(silence=silence):
                 self.connection = self.connect()
-                self.connection.on_silence = self.found.append
-                self.found.clear()
+                self.connection.on_silence = self.reported.append
+                self.reported.clear()
                 self.proxy.opened = 0
                 self.proxy.silence = silence
                 await self.call()
                 self.proxy.answer_bytes = len(BODY) // 2
-                within = limits.progress_seconds + LATE_SECONDS
+                within = limits.progress_seconds + DELAY_MARGIN_SECONDS
                 self.assertIs(await self.failure(within, limits), CallFailure.STALLED)
 
     async def test_silent_while_a_watch_waits(self) -> None:
         limits = watch_limits(10.0)
         self.server.pause_seconds = 20.0
-        asyncio.get_running_loop().call_later(0.2, self.proxy.fall_silent)
-        self.assertIs(await self.failure(UNPROBED_SECONDS, limits), CallFailure.SILENT)
+        asyncio.get_running_loop().call_later(0.2, self.proxy.go_silent)
+        self.assertIs(await self.failure(PROBE_LIMIT_SECONDS, limits), CallFailure.SILENT)
 
     async def test_silent_while_a_watch_waits_though_its_kernel_answers(self) -> None:
         limits = watch_limits(1.0)
         self.proxy.silence = Silence.KERNEL
         self.server.pause_seconds = 20.0
-        asyncio.get_running_loop().call_later(0.2, self.proxy.fall_silent)
-        within = limits.deadline_seconds + LATE_SECONDS
+        asyncio.get_running_loop().call_later(0.2, self.proxy.go_silent)
+        within = limits.deadline_seconds + DELAY_MARGIN_SECONDS
         self.assertIs(await self.failure(within, limits), CallFailure.DEADLINE)
 
     async def test_a_watch_that_waits_for_longer_than_probes_take_is_not_given_up(self) -> None:
-        self.server.pause_seconds = UNPROBED_SECONDS
-        answer = await self.call(watch_limits(2 * UNPROBED_SECONDS))
+        self.server.pause_seconds = PROBE_LIMIT_SECONDS
+        answer = await self.call(watch_limits(2 * PROBE_LIMIT_SECONDS))
         self.assertEqual(answer.body, BODY)
 
     async def test_an_answer_that_comes_slowly_is_not_given_up(self) -> None:
@@ -154,14 +154,14 @@
         self.assertIs(caught.exception.failure, CallFailure.BROKEN)
         self.assertEqual((await self.call()).body, BODY)
 
-    async def test_without_probes_only_the_deadline_shows_it(self) -> None:
+    async def test_without_probes_only_the_deadline_detects_silence(self) -> None:
         self.connection = self.connect(notices_silence=False)
-        self.connection.on_silence = self.found.append
+        self.connection.on_silence = self.reported.append
         self.proxy.opened = 0
         await self.call()
-        self.proxy.fall_silent()
-        limits = list_limits(UNNOTICED_SECONDS)
-        within = UNNOTICED_SECONDS + LATE_SECONDS
+        self.proxy.go_silent()
+        limits = list_limits(UNACKNOWLEDGED_LIMIT_SECONDS)
+        within = UNACKNOWLEDGED_LIMIT_SECONDS + DELAY_MARGIN_SECONDS
         self.assertIs(await self.failure(within, limits), CallFailure.DEADLINE)
 
 
@@ -200,16 +200,18 @@
             while not self.responder.counters[cause]:
                 await asyncio.sleep(0.02)
 
-    async def test_the_longest_idle_connection_makes_room(self) -> None:
-        held = [await self.open() for _ in range(3)]
-        for ends in held:
+    async def test_the_longest_idle_connection_is_closed_for_a_new_one(self) -> None:
+        connections = [await self.open() for _ in range(3)]
+        for ends in connections:
             self.assertTrue(await self.is_answered(*ends))
-        self.assertTrue(await self.is_answered(*held[0]))
+        self.assertTrue(await self.is_answered(*connections[0]))
         self.assertTrue(await self.is_answered(*await self.open()))
-        self.assertEqual([await self.is_answered(*ends) for ends in held], [True, False, True])
+        self.assertEqual(
+            [await self.is_answered(*ends) for ends in connections], [True, False, True]
+        )
         self.assertEqual(self.responder.counters["evicted"], 1)
 
-    async def test_a_half_sent_request_is_given_up_however_slowly_it_goes_on(self) -> None:
+    async def test_a_request_that_arrives_too_slowly_is_closed(self) -> None:
         reader, writer = await self.open()
         for byte in REQUEST[:4]:
             writer.write(bytes([byte]))
@@ -218,7 +220,7 @@
         with self.assertRaises((asyncio.IncompleteReadError, ConnectionError)):
             await reader.readexactly(1)
 
-    async def test_a_caller_that_does_not_read_is_given_up(self) -> None:
+    async def test_a_caller_that_does_not_read_is_closed(self) -> None:
         _, writer = await self.open()
         writer.write(REQUEST.replace(b"ready", b"large"))
         await self.wait_for_count("unread")
@@ -238,16 +240,16 @@
 
 
 BOUND_SECONDS = 3.0
-"""A node's own bound on configurations and drains where its settings hold none."""
+"""A node's default bound for applying configurations and drains."""
 
 
 class SilentStoreTest(TokenNodeCase):
-    """A whole node whose connections to the store fall silent, in each of its states."""
+    """A whole node whose connections to the store go silent, at different moments."""
 
     network = "127.63.0"
 
-    async def change_is_heard(self, version: int) -> None:
-        """Change the configuration, and see to it that the node has it within the bound."""
+    async def assert_change_applied(self, version: int) -> None:
+        """Change the configuration, and check that the node applies it within the bound."""
         self.configure(version, "tracker")
 
         def is_in_force() -> bool:
@@ -256,10 +258,10 @@
 
         await self.wait_until(is_in_force, BOUND_SECONDS, f"no version {version}")
 
-    async def test_changes_are_heard_within_the_bound(self) -> None:
+    async def test_changes_are_applied_within_the_bound(self) -> None:
         self.add_endpoint(1)
         self.configure(1, "tracker")
-        proxy = await self.put_proxy_before_store()
+        proxy = await self.start_store_proxy()
         self.start_node(1)
         await self.wait_until_ready(1)
         await asyncio.sleep(2.0)
@@ -269,12 +271,12 @@
                 with self.subTest(silence=silence, pause_seconds=pause_seconds):
                     version += 1
                     proxy.silence = silence
-                    proxy.fall_silent()
+                    proxy.go_silent()
                     await asyncio.sleep(pause_seconds)
-                    await self.change_is_heard(version)
+                    await self.assert_change_applied(version)
                     proxy.answer_bytes = 100
                     version += 1
-                    await self.change_is_heard(version)
+                    await self.assert_change_applied(version)
         self.assertEqual(await self.readiness(1), 200)
         _, figures = await self.get(1, METRICS_PORT, "/metrics")
         self.assertIn("beamloom_silent_connections_total", figures)
--- a/tests/functional/test_start_bundle.py
+++ b/tests/functional/test_start_bundle.py
@@ -13,9 +13,9 @@
 from beamloom.runtime.start import BUNDLE
 from beamloom.standins.token_client import FlowState
 from tests.functional.test_token_node import (
-    LONGEST_HEARING_SECONDS,
+    LONGEST_PROPAGATION_SECONDS,
     LONGEST_STOP_SECONDS,
-    READERS_SETTLE_SECONDS,
+    READER_ELECTION_SECONDS,
 )
 from tests.functional.token_node_case import METRICS_PORT, TokenNodeCase
 
@@ -89,7 +89,7 @@
             self.start(number)
             await self.wait_until_ready(number)
         await self.serve(1, 2000)
-        await asyncio.sleep(READERS_SETTLE_SECONDS)
+        await asyncio.sleep(READER_ELECTION_SECONDS)
         self.store.faults.refused_hosts = {f"{self.network}.1"}
         self.announce(leaving, "tracker", BackendState.DRAINING)
 
@@ -97,7 +97,7 @@
             told = [line for line in self.lines(1) if line.get("source") == "peer"]
             return "draining" in [line.get("state") for line in told]
 
-        await self.wait_until(has_heard, LONGEST_HEARING_SECONDS)
+        await self.wait_until(has_heard, LONGEST_PROPAGATION_SECONDS)
         await self.serve(2, 2100)
         self.assertNotIn("is not used", self.logs())
 
--- a/tests/functional/test_start_timeline.py
+++ b/tests/functional/test_start_timeline.py
@@ -1,4 +1,4 @@
-"""The line on a node's start: with a store that answers, and with one that fails halfway."""
+"""The log line and metrics of a node's start, with a store that answers and one that fails."""
 
 import asyncio
 import unittest
@@ -6,7 +6,7 @@
 from beamloom.platform.store_objects import BACKENDS_KIND
 from tests.functional.token_node_case import METRICS_PORT, TokenNodeCase
 
-EXPECTED = {
+EXPECTED_FIELDS = {
     "interpreter_ms",
     "settings_ms",
     "socket_ms",
@@ -32,20 +32,20 @@
 
     async def timeline(self) -> dict[str, float]:
         await self.wait_for_line(1, "StartTimeline")
-        told = [line for line in self.lines(1) if line["event"] == "StartTimeline"]
-        self.assertEqual(len(told), 1)
-        return told[0]  # type: ignore[return-value]
+        lines = [line for line in self.lines(1) if line["event"] == "StartTimeline"]
+        self.assertEqual(len(lines), 1)
+        return lines[0]  # type: ignore[return-value]
 
-    async def test_each_moment_is_told_once_a_packet_was_forwarded(self) -> None:
+    async def test_each_moment_is_logged_once_a_packet_was_forwarded(self) -> None:
         self.add_endpoint(1)
         self.configure(1, "tracker")
         self.start_node(1)
         await self.wait_until_ready(1)
         self.assertNotIn("StartTimeline", [line["event"] for line in self.lines(1)])
         await self.play(1, [self.new_flow(2000), self.new_flow(2001)])
-        told = await self.timeline()
-        self.assertEqual(told["outcome"], "forwarded")
-        self.assertEqual(EXPECTED - set(told), set())
+        fields = await self.timeline()
+        self.assertEqual(fields["outcome"], "forwarded")
+        self.assertEqual(EXPECTED_FIELDS - set(fields), set())
         for earlier, later in (
             ("interpreter_ms", "settings_ms"),
             ("settings_ms", "socket_ms"),
@@ -58,7 +58,7 @@
             ("ready_ms", "readiness_answered_ms"),
             ("packet_read_ms", "packet_forwarded_ms"),
         ):
-            self.assertLessEqual(told[earlier], told[later], (earlier, later))
+            self.assertLessEqual(fields[earlier], fields[later], (earlier, later))
         _, text = await self.get(1, METRICS_PORT, "/metrics")
         self.assertIn('beamloom_starts_total{event="forwarded"} 1.0', text)
         self.assertIn("beamloom_start_forwarded_seconds_count 1.0", text)
@@ -76,24 +76,24 @@
         self.store.faults.failing_kinds = set()
         await self.wait_until_ready(1)
         await self.play(1, [self.new_flow(2000)])
-        told = await self.timeline()
-        self.assertEqual(told["outcome"], "forwarded")
-        self.assertGreater(told["last_backends_ms"], told["configuration_ms"] + 400)
-        self.assertGreater(told["last_backends_ms"], told["key_ms"] + 400)
-        self.assertLess(told["readiness_asked_ms"], told["readiness_answered_ms"])
+        fields = await self.timeline()
+        self.assertEqual(fields["outcome"], "forwarded")
+        self.assertGreater(fields["last_backends_ms"], fields["configuration_ms"] + 400)
+        self.assertGreater(fields["last_backends_ms"], fields["key_ms"] + 400)
+        self.assertLess(fields["readiness_asked_ms"], fields["readiness_answered_ms"])
 
-    async def test_a_stop_before_the_backends_are_known_tells_what_was_missing(self) -> None:
+    async def test_a_stop_before_the_backends_are_known_shows_what_was_missing(self) -> None:
         self.configure(1, "tracker")
         self.store.faults.failing_kinds = {BACKENDS_KIND}
         node = self.start_node(1)
         await self.wait_for_line(1, "SecretKnown")
         await self.wait_for_line(1, "ConfigurationInForce")
         self.stop(node)
-        told = await self.timeline()
-        self.assertEqual(told["outcome"], "stopped")
-        self.assertIn("configuration_ms", told)
-        self.assertNotIn("last_backends_ms", told)
-        self.assertNotIn("ready_ms", told)
+        fields = await self.timeline()
+        self.assertEqual(fields["outcome"], "stopped")
+        self.assertIn("configuration_ms", fields)
+        self.assertNotIn("last_backends_ms", fields)
+        self.assertNotIn("ready_ms", fields)
 
 
 if __name__ == "__main__":
--- a/tests/functional/test_token_node.py
+++ b/tests/functional/test_token_node.py
@@ -1,4 +1,4 @@
-"""A token node as a process: the whole path, and what it does when things change or fail."""
+"""A token node as a process: forwarding, stops, changes in the store, and failures of the store."""
 
 import asyncio
 import signal
@@ -21,10 +21,10 @@
 from tests.functional.token_node_case import METRICS_PORT, TokenNodeCase
 
 LONGEST_STOP_SECONDS = 6.0
-READERS_SETTLE_SECONDS = LISTENING_SECONDS + LONGEST_HESITATION_SECONDS + 0.5
-"""Until then a node hears of changes within the bounds of a start, not at once."""
-LONGEST_HEARING_SECONDS = reading_times().overdue_seconds + 2 * TICK_SECONDS + 0.2
-"""After the loss of a reader the other one steps in; a tick until it asks, one until it logs."""
+READER_ELECTION_SECONDS = LISTENING_SECONDS + LONGEST_HESITATION_SECONDS + 0.5
+"""By then readers are elected; before that, changes may take as long as at a start."""
+LONGEST_PROPAGATION_SECONDS = reading_times().overdue_seconds + 2 * TICK_SECONDS + 0.2
+"""After the loss of a reader, another reader takes over; one tick until it calls, one to log."""
 NOT_BEFORE_READY = {
     "aiohttp",
     "cbor2",
@@ -46,7 +46,7 @@
 
 
 class TokenNodeTest(TokenNodeCase):
-    async def test_flows_are_served_and_a_stop_cuts_off_none(self) -> None:
+    async def test_flows_are_served_and_a_stop_interrupts_none(self) -> None:
         endpoints = [self.add_endpoint(number) for number in (1, 2)]
         self.configure(1, "tracker")
         node = self.start_node(1)
@@ -92,7 +92,7 @@
         nodes = [self.start_node(number) for number in (1, 2)]
         for number in (1, 2):
             await self.wait_until_ready(number)
-        await asyncio.sleep(READERS_SETTLE_SECONDS)
+        await asyncio.sleep(READER_ELECTION_SECONDS)
         for node in nodes:
             self.stop(node)
         await self.wait_until_ready(1, status=503, seconds=1.0)
@@ -103,7 +103,7 @@
         await self.wait_until_ready(2, status=503, seconds=2.0)
         self.assertEqual(await asyncio.to_thread(nodes[1].wait, LONGEST_STOP_SECONDS), 0)
 
-    async def test_a_start_with_a_stale_configuration_hears_soon_what_is_new(self) -> None:
+    async def test_a_start_with_a_stale_configuration_gets_the_new_one_soon(self) -> None:
         self.add_endpoint(1)
         self.configure(1, "tracker")
         self.configure(2, "tracker")
@@ -115,22 +115,22 @@
         ready = next(line for line in self.lines(1) if line["event"] == "Ready")
         self.assertEqual((ready["version"], ready["backends"]), (1, 2))
         end = time.monotonic() + LONGEST_UNCONFIRMED_SECONDS + STALE_SPREAD_SECONDS + 1.0
-        while not {2, "i-00000002"} <= self.heard(1):
+        while not {2, "i-00000002"} <= self.applied(1):
             self.assertLess(time.monotonic(), end, self.logs())
             await asyncio.sleep(0.05)
 
-    def told(self, number: int) -> set[object]:
-        """Return the states of backends and the versions that a node has heard from its peers."""
+    def applied_from_peers(self, number: int) -> set[object]:
+        """Return the backend states and versions that a node has logged as received from peers."""
         lines = [line for line in self.lines(number) if line.get("source") == "peer"]
         return {line.get("state") for line in lines} | {line.get("version") for line in lines}
 
-    def heard(self, number: int) -> set[object]:
-        """Return the versions and backends that a node has written down."""
+    def applied(self, number: int) -> set[object]:
+        """Return the configuration versions and changed backends that a node has logged."""
         lines = self.lines(number)
         versions = {line["version"] for line in lines if line["event"] == "ConfigurationInForce"}
         return versions | {line["backend"] for line in lines if line["event"] == "BackendChanged"}
 
-    async def test_another_node_carries_flows_on_and_unknown_routes_are_refused(self) -> None:
+    async def test_another_node_continues_flows_and_unknown_routes_are_refused(self) -> None:
         self.add_endpoint(1)
         self.add_endpoint(2)
         self.configure(1, "tracker")
@@ -138,7 +138,7 @@
         self.start_node(2)
         await self.wait_until_ready(1)
         await self.wait_until_ready(2)
-        await asyncio.sleep(READERS_SETTLE_SECONDS)
+        await asyncio.sleep(READER_ELECTION_SECONDS)
         flow = self.new_flow(2000, FlowPlan(requests=4, rest_seconds=0.4))
         began = time.monotonic()
         while not flow.answers:
@@ -154,12 +154,12 @@
         self.assertEqual(len(set(flow.answers)), 1)
 
         self.configure(2)
-        await self.wait_until(lambda: 2 in self.heard(2), LONGEST_HEARING_SECONDS)
+        await self.wait_until(lambda: 2 in self.applied(2), LONGEST_PROPAGATION_SECONDS)
         refused = self.new_flow(2001)
         await self.play(2, [refused])
         self.assertIs(refused.state, FlowState.REFUSED)
 
-    async def test_a_node_that_the_store_refuses_hears_from_another(self) -> None:
+    async def test_a_node_that_the_store_refuses_gets_changes_from_a_peer(self) -> None:
         leaving = self.add_endpoint(1)
         self.add_endpoint(2)
         self.configure(1, "tracker")
@@ -171,7 +171,9 @@
         await asyncio.sleep(1.0)
         self.announce(leaving, "tracker", BackendState.DRAINING)
         self.configure(5, "tracker")
-        await self.wait_until(lambda: self.told(1) >= {"draining", 5}, LONGEST_HEARING_SECONDS)
+        await self.wait_until(
+            lambda: self.applied_from_peers(1) >= {"draining", 5}, LONGEST_PROPAGATION_SECONDS
+        )
         flows = [self.new_flow(2100 + number) for number in range(6)]
         await self.play(1, flows)
         self.assertEqual({flow.answers[0] for flow in flows}, {"i-00000002"})
@@ -207,7 +209,7 @@
             self.nodes[f"node-{number}"].kill()
             self.nodes[f"node-{number}"].wait()
 
-    async def test_a_stranger_is_not_given_the_secret(self) -> None:
+    async def test_a_host_that_was_no_member_does_not_get_the_secret(self) -> None:
         self.add_endpoint(1)
         self.configure(3, "tracker")
         self.start_node(1)
@@ -219,7 +221,7 @@
         self.assertEqual(await self.readiness(2), 503)
         self.assertNotIn("SecretGiven", [line["event"] for line in self.lines(1)])
 
-    async def test_a_lost_creation_of_the_secret_and_a_slow_store_do_no_harm(self) -> None:
+    async def test_a_lost_write_of_the_secret_and_a_slow_store_only_delay_a_start(self) -> None:
         self.add_endpoint(1)
         self.configure(1, "tracker")
         self.store.faults.lost_writes = 1
@@ -227,7 +229,7 @@
         self.start_node(1)
         await self.wait_until_ready(1, seconds=12.0)
 
-    async def test_no_node_is_ready_before_the_store_has_told_it_everything(self) -> None:
+    async def test_no_node_is_ready_before_it_has_read_the_store(self) -> None:
         self.store.faults.unavailable = True
         self.start_node(1)
         await self.wait_until_ready(1, status=503)
@@ -240,7 +242,7 @@
         await self.wait_for_line(1, "DependencyLost")
         await self.wait_for_line(1, "DependencyRegained")
 
-    async def test_settings_are_read_again_and_figures_are_told(self) -> None:
+    async def test_settings_are_reloaded_and_metrics_are_served(self) -> None:
         self.add_endpoint(1)
         self.configure(1, "tracker")
         node = self.start_node(1)
@@ -263,7 +265,7 @@
         self.assertIn("beamloom_configuration_version 1.0", text)
         self.assertEqual(await self.readiness(1), 200)
 
-    async def test_faulty_settings_end_the_program_with_a_line(self) -> None:
+    async def test_faulty_settings_end_the_program_with_an_error(self) -> None:
         path = self.write_settings(1)
         path.write_text("node-name = 5")
         run = await asyncio.to_thread(
--- a/tests/functional/token_node_case.py
+++ b/tests/functional/token_node_case.py
@@ -1,4 +1,4 @@
-"""A real token node as a process of its own, with stand-ins of the platform around it."""
+"""Base class of tests that run token nodes as processes against stand-ins of the platform."""
 
 import asyncio
 import json
@@ -48,7 +48,7 @@
 
 
 class EndpointProcess:
-    """An endpoint's model on a socket; answers go to the client's address directly."""
+    """An endpoint model on a UDP socket; its answers are sent directly to the client's address."""
 
     def __init__(self, host: str, model: TokenEndpoint) -> None:
         self.model = model
@@ -80,12 +80,12 @@
 
 
 class TokenNodeCase(unittest.IsolatedAsyncioTestCase):
-    """Starts a store; `start_node` starts nodes on loopback addresses of this test's own."""
+    """Starts a store; `start_node` starts nodes on loopback addresses of `network`."""
 
     network = "127.61.0"
     program: tuple[str, ...] = ("-m", "beamloom.runtime.token_node_main")
     bounds: Mapping[str, int] = {}
-    """Times in the nodes' settings, in ms; their own where they are not given."""
+    """The `[bounds]` of the nodes' settings, in ms; defaults apply to those not given."""
 
     async def asyncSetUp(self) -> None:
         self.store = TokenStoreServer(TokenStore())
@@ -102,8 +102,8 @@
         self.addCleanup(self.client_socket.close)
         self.sequence = 0
 
-    async def put_proxy_before_store(self) -> SilentProxy:
-        """Let nodes that start from now on call the store through a proxy; return it."""
+    async def start_store_proxy(self) -> SilentProxy:
+        """Start a proxy that nodes started from now on use for the store; return it."""
         proxy = SilentProxy((f"{self.network}.200", self.store.port))
         await proxy.start(f"{self.network}.200")
         self.addAsyncCleanup(proxy.close)
@@ -184,9 +184,9 @@
         node.wait()
 
     def lines(self, number: int) -> list[dict[str, object]]:
-        """Return what a node has written; the last line counts once it is whole.
+        """Return the complete lines of a node's log.
 
-        The kernel shows a long write page by page, so that a reader may meet half a line.
+        A long write becomes visible page by page, so the last line may be incomplete.
         """
         text = (self.folder / f"node-{number}.log").read_text()
         whole, _, _ = text.rpartition("\n")
@@ -216,14 +216,14 @@
             await asyncio.sleep(0.05)
 
     async def wait_until(self, holds: Callable[[], bool], seconds: float, what: str = "") -> None:
-        """Wait until something holds; lines are written a few times a second."""
+        """Poll a condition until it holds; nodes write their logs a few times a second."""
         end = time.monotonic() + seconds
         while not holds():
             self.assertLess(time.monotonic(), end, f"{what}: {self.logs()}")
             await asyncio.sleep(0.05)
 
     async def wait_for_line(self, number: int, event: str, seconds: float = 3.0) -> None:
-        """Wait until a node has written a line."""
+        """Wait until a node has logged an event."""
 
         def is_written() -> bool:
             return event in [line["event"] for line in self.lines(number)]
--- a/tests/unit/views/test_store_reader.py
+++ b/tests/unit/views/test_store_reader.py
@@ -1,4 +1,4 @@
-"""What a reader of the store does after a connection that was found silent."""
+"""How a reader of the store reacts to silent connections, stalled lists and new eras."""
 
 import asyncio
 import unittest
@@ -27,20 +27,20 @@
 
 
 class _ScriptedConnection(HttpConnection):
-    """Answers each call with 200, or fails it as the script says; then answers nothing."""
+    """Answers calls with 200 or fails them, by the script; calls after its end never return."""
 
     def __init__(self, script: Sequence[CallFailure | None]) -> None:
         super().__init__("127.0.0.1", 1, "127.0.0.1")
         self.paths: list[str] = []
         self.limits: list[CallLimits] = []
-        self.over = asyncio.Event()
+        self.exhausted = asyncio.Event()
         self._script = list(script)
 
     async def call(
         self, method: str, path: str, limits: CallLimits, body: bytes = b""
     ) -> HttpAnswer:
         if not self._script:
-            self.over.set()
+            self.exhausted.set()
             await asyncio.Event().wait()
         self.paths.append(path)
         self.limits.append(limits)
@@ -52,7 +52,7 @@
 
 class StoreReaderTest(unittest.IsolatedAsyncioTestCase):
     async def read(self, *script: CallFailure | None) -> tuple[_ScriptedConnection, list[str]]:
-        """Play a script to a reader; return the connection, and the failures it told."""
+        """Run a reader against a script; return the connection and the reported failures."""
         core = new_core()
         core.duty.reading = True
         connection = _ScriptedConnection(script)
@@ -62,13 +62,13 @@
         reader.on_answer = lambda changes: core.duty.note_answer(asyncio.get_running_loop().time())
         task = asyncio.create_task(reader.run())
         try:
-            await asyncio.wait_for(connection.over.wait(), LONGEST_SECONDS)
+            await asyncio.wait_for(connection.exhausted.wait(), LONGEST_SECONDS)
         finally:
             task.cancel()
             await asyncio.wait({task})
         return connection, failures
 
-    async def test_the_next_call_follows_at_once_and_does_not_wait(self) -> None:
+    async def test_the_call_after_a_silent_connection_is_immediate_and_does_not_wait(self) -> None:
         script = (None, None, CallFailure.SILENT, None, None)
         connection, failures = await self.read(*script)
         self.assertEqual(
@@ -81,14 +81,14 @@
         _, failures = await self.read(None, CallFailure.SILENT, CallFailure.SILENT, None)
         self.assertEqual(failures, ["silent"])
 
-    async def test_a_list_that_stood_still_gets_more_time(self) -> None:
+    async def test_a_stalled_list_gets_more_time(self) -> None:
         connection, failures = await self.read(CallFailure.STALLED, None)
         self.assertEqual(failures, ["stalled"])
         before, after = connection.limits[:2]
         self.assertEqual(after.deadline_seconds, 2 * before.deadline_seconds)
         self.assertEqual(after.progress_seconds, 2 * before.progress_seconds)
 
-    async def test_a_new_era_of_the_store_is_told_once(self) -> None:
+    async def test_a_new_era_of_the_store_is_reported_once(self) -> None:
         core = new_core()
         core.duty.reading = True
         connection = _ScriptedConnection((None, None, None))
@@ -96,7 +96,7 @@
         eras: list[int] = []
         reader.on_era = eras.append
         task = asyncio.create_task(reader.run())
-        await asyncio.wait_for(connection.over.wait(), LONGEST_SECONDS)
+        await asyncio.wait_for(connection.exhausted.wait(), LONGEST_SECONDS)
         task.cancel()
         await asyncio.wait({task})
         self.assertEqual(eras, [4])
@@ -104,7 +104,7 @@
 
 
 class EraTest(unittest.TestCase):
-    def test_what_is_no_number_tells_no_era(self) -> None:
+    def test_an_invalid_era_header_is_ignored(self) -> None:
         self.assertEqual(read_era({b"store-era": b"12"}), 12)
         for value in (b"", b"-1", b"1.5", b"twelve", b"\xff"):
             self.assertIsNone(read_era({b"store-era": value}), value)
