--- a/src/beamloom/runtime/connection_limits.py
+++ b/src/beamloom/runtime/connection_limits.py
@@ -1,4 +1,4 @@
-"""Timeouts that detect silent connections of a node, for each kind of connection.
+"""Timeouts and limits for silent connections of a node, for each kind of connection.
 
 A connection may go silent for good without a reset: sent data is lost and nothing is received. The
 kernel detects that the other machine's kernel no longer acknowledges data; the node's own timeouts
@@ -14,7 +14,7 @@
 from beamloom.units import MILLISECONDS
 
 CONNECT_SECONDS = 0.7
-"""Below the second or more after which TCP repeats a lost SYN: a new connection is faster."""
+"""TCP retransmits a lost SYN only after a second or more, so a new connection is faster."""
 LIST_SECONDS = 2.0
 """First deadline of a list. A list of 500 objects takes a tenth of that on an idle store."""
 LONGEST_LIST_SECONDS = 8.0
@@ -43,7 +43,9 @@
 MAXIMUM_CONNECTIONS = 64
 """Limit per responder: enough for a dozen callers with several silent connections each."""
 IDLE_SECONDS = 30.0
-"""Above the usual interval of scrapes (15 s) and of readiness probes (0.5 s)."""
+"""How long a connection may be idle: longer than the usual interval of scrapes (15 s) and of
+readiness probes (0.5 s).
+"""
 REQUEST_SECONDS = 2.0
 """How long a request may be incomplete: enough for three retransmissions of its one packet."""
 UNREAD_ANSWER_SECONDS = 5.0
--- a/src/beamloom/runtime/fleet_secret.py
+++ b/src/beamloom/runtime/fleet_secret.py
@@ -56,7 +56,7 @@
     """Fetches the secret and keeps it in the store; `known` holds the current one, then older ones.
 
     `open_link` returns the socket for peers, or None if it cannot be opened. `on_change` is called
-    when `keep` has replaced the current secret.
+    when `keep` has replaced the current secret. Without `asks_peers` only the store is asked.
     """
 
     def __init__(
@@ -124,7 +124,7 @@
             await self._check_store()
 
     def record_era(self, era: int) -> None:
-        """Record an era of the store; one later than the last requires a check."""
+        """Record an era of the store; one later than all before requires a check."""
         if self._era is not None and era > self._era:
             self._check_needed.set()
         self._era = era if self._era is None else max(era, self._era)
--- a/src/beamloom/runtime/machine_list.py
+++ b/src/beamloom/runtime/machine_list.py
@@ -72,7 +72,7 @@
             await self._attempt("list", self._list)
 
     async def leave(self) -> None:
-        """Report that this machine is leaving; after a failure its entry expires by itself."""
+        """Report that this machine is leaving; a failure is counted, and the entry expires."""
         if self._registered:
             await self._attempt("leave", lambda: self._client.leave_machine(self._machine.node_id))
 
--- a/src/beamloom/runtime/shared_secret.py
+++ b/src/beamloom/runtime/shared_secret.py
@@ -27,7 +27,7 @@
 
 
 def no_pause() -> float:
-    """Return no minimum pause after a failure."""
+    """Return 0.0: by default there is no minimum pause."""
     return 0.0
 
 
--- a/src/beamloom/runtime/start_timeline.py
+++ b/src/beamloom/runtime/start_timeline.py
@@ -38,9 +38,7 @@
     Outcome = Literal["forwarded", "no_packet", "not_ready", "stopped"]
 
 LONGEST_START_SECONDS = 10.0
-"""A longer start is reported with its moments so far. A start on the smallest machine (a tenth of a
-core) takes a tenth of this if the store answers.
-"""
+"""Far longer than a start takes if the store answers; a longer one is reported as it is so far."""
 LONGEST_INTERPRETER_SECONDS = 2.0
 """Far above the processor time that the interpreter uses before the first own code. On a host whose
 process clock shows more, that clock measures something else and is ignored.
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -49,8 +49,9 @@
 """
 READER_ID_BYTES = 4
 LONGEST_QUEUE_SECONDS = 1.0
-"""How long a starting node leaves packets in its socket's buffer until it is ready. After that it
-reads and drops them: clients retransmit within 0.2 to 1.6 s.
+"""How long a starting node leaves packets in its socket's buffer until it is ready. Clients
+retransmit after 0.2 to 1.6 s, so older packets are useless: a node that is not ready by then reads
+them, and drops those that it cannot forward.
 """
 LONGEST_OPENING_WAIT_SECONDS = 0.4
 """After a longer start, opening packets in the buffer are dropped: another node may have forwarded
@@ -213,7 +214,7 @@
             self.decisions.life("LimitsUnusable", taken_as_least=names)
 
     async def _start_metrics(self) -> None:
-        """Serve metrics at the configured address; without it the node only logs the error."""
+        """Serve metrics if an address is configured; failure to bind it is only logged."""
         endpoint = self.settings.metrics
         if endpoint is None:
             return
@@ -223,7 +224,7 @@
             self.decisions.dependency_lost("metrics address", str(error), 1)
 
     async def _read_packets_when_unready(self) -> None:
-        """Start reading after LONGEST_QUEUE_SECONDS; a node that is not ready drops the packets."""
+        """Start reading packets after LONGEST_QUEUE_SECONDS even if the node is not ready."""
         await asyncio.sleep(LONGEST_QUEUE_SECONDS if self._mechanisms.waiting_packets else 0.0)
         self._packets.start()
         await asyncio.Event().wait()
@@ -326,7 +327,7 @@
 
 
 def _evacuation_times(settings: TokenNodeSettings, mechanisms: Mechanisms) -> ReadingTimes | None:
-    """Return the times for evacuations; None where the settings do not provide for them."""
+    """Return the times for evacuations; None if the settings do not provide for them."""
     if settings.evacuate_seconds is None:
         return None
     return evacuation_reading_times(settings.evacuate_seconds, settings.contact_seconds, mechanisms)
--- a/src/beamloom/runtime/token_node_main.py
+++ b/src/beamloom/runtime/token_node_main.py
@@ -79,7 +79,7 @@
 
 @contextmanager
 def _missing(module: str) -> Iterator[None]:
-    """Make imports of a module fail: asyncio works without `ssl`, a tenth of a start's time."""
+    """Make imports of a module fail: asyncio works without `ssl`, which is slow to import."""
     sys.modules[module] = None  # type: ignore[assignment]
     try:
         yield
@@ -89,7 +89,7 @@
 
 @contextmanager
 def _no_collections() -> Iterator[None]:
-    """Disable garbage collection, then exempt all objects made meanwhile from later ones."""
+    """Disable garbage collection, then exempt all existing objects from later collections."""
     gc.disable()
     try:
         yield
--- a/tests/functional/test_evacuation_at_start.py
+++ b/tests/functional/test_evacuation_at_start.py
@@ -1,6 +1,7 @@
 """All nodes start during an evacuation, and the store goes silent: they must still apply it.
 
-Seeds list evacuations at their start. If all nodes left that to their peers, none would know of it.
+Seeds list evacuations when they start. If each node left that to its peers, none would know of the
+evacuation until readers are elected.
 """
 
 import asyncio
--- a/tests/functional/test_restored_store.py
+++ b/tests/functional/test_restored_store.py
@@ -54,7 +54,7 @@
         self.store.note_change()
 
     async def drain_after_restore(self) -> None:
-        """Restore the store without a dozen versions, then drain a backend at a lower revision."""
+        """Lose a dozen versions in a restore, then drain a backend below the known revision."""
         await self.start_two()
         for version in range(4, 16):
             self.configure(version, "tracker")
@@ -86,7 +86,7 @@
         await self.play(3, flows, 12.0)
         self.assertEqual({flow.state for flow in flows}, {FlowState.DONE})
 
-    async def test_a_node_that_starts_before_that_gets_the_secret_from_a_peer(self) -> None:
+    async def test_a_node_started_before_the_secret_is_restored_asks_a_peer(self) -> None:
         await self.start_two()
         secret_before = self.secret()
         second = self.nodes["node-2"]
@@ -157,7 +157,7 @@
         for number in (1, 2):
             await self.wait_until(lambda number=number: self.is_draining(number), 2.5)
 
-    async def test_unreadable_entries_of_other_writers_are_ignored(self) -> None:
+    async def test_invalid_entries_of_other_writers_are_ignored(self) -> None:
         await self.start_two()
         host, port = self.endpoints[0].address
         entries: list[object] = [
--- a/tests/functional/test_signals.py
+++ b/tests/functional/test_signals.py
@@ -78,7 +78,7 @@
     async def test_reload_signals_during_start_and_stop_do_not_end_a_node(self) -> None:
         await self.assert_survives(STARTS)
 
-    async def test_nor_a_node_that_is_started_as_deployed(self) -> None:
+    async def test_reload_signals_do_not_end_a_node_started_as_deployed(self) -> None:
         self.start_as_deployed()
         await self.assert_survives(STARTS)
 
