--- a/src/beamloom/runtime/own_usage.py
+++ b/src/beamloom/runtime/own_usage.py
@@ -1,4 +1,4 @@
-"""Measures what this process uses: processor, peers' traffic, memory, descriptors."""
+"""Measures this process's usage of processor, peer traffic, memory and file descriptors."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 STATM_PATH = "/proc/self/statm"
 DESCRIPTORS_PATH = "/proc/self/fd"
 RESIDENT_FIELD = 1
-"""Of statm: the pages that are in memory (proc(5))."""
+"""Index of the resident pages in statm (proc(5))."""
 PEER_LINK_SHARE = 0.1
-"""Of the link, for what nodes tell each other; the rest is for clients' packets."""
-SLOW_SAMPLES = 5
-"""Memory and descriptors, which cost a few system calls, are looked at each fifth time."""
+"""Fraction of the link that peer messages may use; the rest is for clients' packets."""
+SLOW_SAMPLE_INTERVAL = 5
+"""Memory and descriptors, which cost several system calls, are read in every fifth sample."""
 
 
 class UsageProbe:
-    """Samples usage. `unusable` names limits that nobody told: no share of them is known.
+    """Samples usage as shares of the limits in `capacity`.
 
-    `traffic` counts peers' `sent_bytes` and `received_bytes`.
+    `unusable` names limits that are missing or implausible in the settings; their shares are None.
+    `traffic` returns the counters `sent_bytes` and `received_bytes` of peer messages.
     """
 
     def __init__(
@@ -45,21 +46,21 @@
         self._descriptors: float | None = None
 
     def sample(self, now: float) -> Usage:
-        """Return what was used since the sample before; nothing is known at the first one."""
+        """Return the usage; that of processor and link is since the last sample, None at first."""
         processor_seconds = time.process_time()
         peer_bytes = self._count_peer_bytes()
         before, self._sampled_at = self._sampled_at, now
         spent = processor_seconds - self._processor_seconds
-        moved = peer_bytes - self._peer_bytes
+        transferred = peer_bytes - self._peer_bytes
         self._processor_seconds, self._peer_bytes = processor_seconds, peer_bytes
-        if self._samples % SLOW_SAMPLES == 0:
+        if self._samples % SLOW_SAMPLE_INTERVAL == 0:
             self._memory = self._share("memory_megabytes", self._read(_resident_megabytes))
             self._descriptors = self._share("descriptors", self._read(_open_descriptors))
         self._samples += 1
         if before is None or now <= before:
             return Usage(None, None, self._memory, self._descriptors)
         seconds = now - before
-        megabits = moved / seconds / BYTES_PER_MEGABIT / PEER_LINK_SHARE
+        megabits = transferred / seconds / BYTES_PER_MEGABIT / PEER_LINK_SHARE
         return Usage(
             self._share("cores", spent / seconds),
             self._share("link_megabits", megabits),
@@ -78,7 +79,7 @@
         return used / limit
 
     def _read(self, read: Callable[[], float]) -> float | None:
-        """Return a figure of the kernel's; where it gives none, that is counted."""
+        """Return the result of `read`; on an error count it and return None."""
         try:
             return read()
         except (OSError, ValueError, IndexError) as error:
--- a/src/beamloom/runtime/peer_link.py
+++ b/src/beamloom/runtime/peer_link.py
@@ -1,7 +1,7 @@
-"""The datagrams between nodes: one socket, signed envelopes, each taken once.
+"""Datagrams between nodes: one socket, signed envelopes, replay protection.
 
-Before the fleet's secret is known only messages that nobody signs are sent and taken, and none but
-those of the exchange of the secret.
+Until the fleet's secret is known, only unsigned messages are sent and accepted. Only requests for
+the secret and their answers are accepted unsigned.
 """
 
 from __future__ import annotations
@@ -20,47 +20,53 @@
 from beamloom.runtime.datagrams import DatagramSocket
 from beamloom.units import MILLISECONDS
 
-OPEN_KEYS = KeyRing((OPEN_KEY,))
+UNSIGNED_KEYS = KeyRing((OPEN_KEY,))
 
-Received = Callable[[str, Message], None]
+MessageHandler = Callable[[str, Message], None]
 
 
 class PeerLink:
-    """Sends and receives messages; raises OSError where the address cannot be bound.
+    """Sends and receives messages; raises OSError if the address cannot be bound.
 
-    `received` hears of signed messages, `received_open` of unsigned ones.
+    `on_message` gets the sender's host and each signed message, `on_unsigned` the same for
+    unsigned ones.
     """
 
     def __init__(
-        self, host: str, port: int, sender: str, received: Received, received_open: Received
+        self,
+        host: str,
+        port: int,
+        sender: str,
+        on_message: MessageHandler,
+        on_unsigned: MessageHandler,
     ) -> None:
         self.counters: Counter[str] = Counter()
         self.sent_bytes: Counter[str] = Counter()
         self._port = port
         self._sender = NodeId(sender)
         self._keys: KeyRing | None = None
-        self._guard = ReplayGuard()
-        self._received = received
-        self._received_open = received_open
+        self._replay_guard = ReplayGuard()
+        self._on_message = on_message
+        self._on_unsigned = on_unsigned
         self._sequence = 0
         self._loop = asyncio.get_running_loop()
         self._socket = DatagramSocket(SocketAddress(host, port))
-        self._socket.listen(self._take)
+        self._socket.listen(self._handle_datagram)
 
     def use_keys(self, keys: tuple[bytes, ...]) -> None:
-        """Sign with the first key, and take what is signed with any, from now on."""
+        """Sign with the first key and accept signatures of all `keys` from now on."""
         self._keys = KeyRing(keys)
 
     def send(self, host: str, message: Message) -> None:
-        """Send a signed message to the node at a host; what cannot be sent is counted and lost."""
+        """Send a signed message to the node at a host; a message that cannot be sent is counted."""
         if self._keys is None:
             self.counters["unsent_no_key"] += 1
         else:
             self._send(self._keys, host, message)
 
-    def send_open(self, host: str, message: Message) -> None:
-        """Send a message that nobody signs."""
-        self._send(OPEN_KEYS, host, message)
+    def send_unsigned(self, host: str, message: Message) -> None:
+        """Send an unsigned message to the node at a host."""
+        self._send(UNSIGNED_KEYS, host, message)
 
     def close(self) -> None:
         """Stop receiving."""
@@ -81,11 +87,11 @@
         self.counters["sent_bytes"] += len(data)
         self.sent_bytes[type(message).__name__] += len(data)
 
-    def _take(self, data: bytes, source: SocketAddress) -> None:
+    def _handle_datagram(self, data: bytes, source: SocketAddress) -> None:
         try:
-            envelope = self._take_signed(data)
+            envelope = self._decode_signed(data)
         except AuthenticationError as error:
-            if not self._take_open(data, source[0]):
+            if not self._handle_unsigned(data, source[0]):
                 self.counters[f"refused_{error.reason}"] += 1
             return
         except ProtocolError as error:
@@ -94,23 +100,23 @@
         self.counters["received"] += 1
         self.counters["received_bytes"] += len(data)
         for message in envelope.messages:
-            self._received(source[0], message)
+            self._on_message(source[0], message)
 
-    def _take_signed(self, data: bytes) -> Envelope:
+    def _decode_signed(self, data: bytes) -> Envelope:
         if self._keys is None:
             raise AuthenticationError("the fleet's secret is not known yet; read it first")
         envelope = decode_datagram(self._keys, data)
-        self._guard.check(envelope.sender, envelope.sequence)
+        self._replay_guard.check(envelope.sender, envelope.sequence)
         return envelope
 
-    def _take_open(self, data: bytes, host: str) -> bool:
-        """Take an unsigned datagram; return whether it is one."""
+    def _handle_unsigned(self, data: bytes, host: str) -> bool:
+        """Handle a datagram if it is an unsigned one; return whether it is."""
         try:
-            envelope = decode_datagram(OPEN_KEYS, data)
+            envelope = decode_datagram(UNSIGNED_KEYS, data)
         except ProtocolError:
             return False
         self.counters["received_open"] += 1
         for message in envelope.messages:
             if isinstance(message, SecretRequest | SecretAnswer):
-                self._received_open(host, message)
+                self._on_unsigned(host, message)
         return True
--- a/src/beamloom/runtime/store_reader.py
+++ b/src/beamloom/runtime/store_reader.py
@@ -1,10 +1,10 @@
 """Drives one ObjectWatch over a connection: lists, watches, deadlines, pauses.
 
-Each call has a deadline, so a connection that is dead, or a store that takes calls and never
-answers, costs one wait. A connection that the kernel finds silent says nothing of the store: the
-next call follows at once on a new one, and does not wait for a change, so that the view is
-confirmed before other nodes find theirs stale. A node that has the reader's duty watches all the
-time; any other asks only when its view has not been confirmed for a while, by itself or by peers.
+Each call has a deadline, so a dead connection or a store that accepts calls and never answers costs
+one timeout. A connection that the kernel reports as silent is no evidence about the store: the next
+call is made at once on a new connection, where a watch does not wait for changes, so that the view
+is confirmed before other nodes' views are stale. A reader watches continuously. Any other node
+calls the store only if it has no list, or if neither it nor a peer has confirmed the view lately.
 """
 
 from __future__ import annotations
@@ -40,9 +40,10 @@
 
 
 class KindFormat(NamedTuple, Generic[Record]):
-    """How one kind of object is asked for and read; `label` names it in counters and logs.
+    """Paths and decoders for one kind of object; `label` names it in counters and logs.
 
-    What is read is of the era that its answer tells; `read_era` returns None where it tells none.
+    `read_page` and `read_changes` get a body and the era of its revisions. `read_era` returns the
+    era that an answer's headers state, or None.
     """
 
     label: str
@@ -54,9 +55,9 @@
 
 
 class StoreReader(Generic[Record]):
-    """Reads one kind; `run` ends only when it is cancelled.
+    """Reads one kind of object; `run` ends only when it is cancelled.
 
-    `on_answer` is called after each answer that tells how the store stands, with what it changed.
+    `on_answer` is called with the changes after each list or watch that was answered and decoded.
     """
 
     def __init__(
@@ -82,11 +83,11 @@
         self._turn = turn
         self._wake = asyncio.Event()
         self._list_seconds = LIST_SECONDS
-        self._rest_seconds = 0.0
+        self._pause_seconds = 0.0
         self._was_silent = False
 
     def advance(self, now: float) -> None:
-        """Begin to ask where it has become necessary; to be called a few times a second."""
+        """Wake `run` if a call has become necessary; to be called a few times a second."""
         if self._turn.must_ask(now):
             self._wake.set()
 
@@ -95,12 +96,12 @@
         try:
             while True:
                 await self._wait_for_turn()
-                failure = await self._step()
+                failure = await self._call_once()
                 if failure is not None:
-                    self._rest_seconds = self._turn.note_failure(_now())
+                    self._pause_seconds = self._turn.note_failure(_now())
                     self.on_failure(failure, self.watch.failures)
-                if self._rest_seconds:
-                    await asyncio.sleep(self._rest_seconds)
+                if self._pause_seconds:
+                    await asyncio.sleep(self._pause_seconds)
         finally:
             self._connection.close()
 
@@ -111,9 +112,9 @@
         self._wake.clear()
         await self._wake.wait()
 
-    async def _step(self) -> str | None:
-        """Make one call and take its answer; return why it had no usable one."""
-        self._rest_seconds = 0.0
+    async def _call_once(self) -> str | None:
+        """Make one call and handle its answer; return why there was no usable one, or None."""
+        self._pause_seconds = 0.0
         request = self.watch.next_request()
         failures = self.watch.failures
         asked_at = _now()
@@ -121,24 +122,24 @@
             answer = await self._call(request)
         except CallFailedError as error:
             self.counters[f"calls_{error.failure.value}"] += 1
-            return self._take_failure(error.failure)
+            return self._handle_failure(error.failure)
         self._was_silent = False
         self.counters[f"calls_{answer.status}"] += 1
-        self._note_era(answer)
-        failure = self._take(request, answer, asked_at)
+        self._report_new_era(answer)
+        failure = self._handle_answer(request, answer, asked_at)
         if failure is None and failures:
             self.on_recovery(failures)
         return failure
 
-    def _note_era(self, answer: HttpAnswer) -> None:
-        """Tell of an era of the store that this reader has not met before."""
+    def _report_new_era(self, answer: HttpAnswer) -> None:
+        """Report an era that differs from that of the previous answers."""
         era = self._kind.read_era(answer.headers)
         if era is not None and era != self.era:
             self.era = era
             self.on_era(era)
 
-    def _take_failure(self, failure: CallFailure) -> str | None:
-        """Return why a call had no answer; None where the next one is to follow at once."""
+    def _handle_failure(self, failure: CallFailure) -> str | None:
+        """Return the reason of a failed call, or None if the next call is to be made at once."""
         if failure is CallFailure.SILENT and not self._was_silent:
             self._was_silent = True
             return None
@@ -156,7 +157,7 @@
         path = self._kind.watch_path(request, wait)
         return await self._connection.call("GET", path, watch_limits(wait))
 
-    def _take(
+    def _handle_answer(
         self, request: ListRequest | WatchRequest, answer: HttpAnswer, asked_at: float
     ) -> str | None:
         if answer.status == STATUS_GONE:
@@ -165,43 +166,43 @@
         if answer.status != STATUS_OK:
             return f"status_{answer.status}"
         try:
-            changes = self._take_body(request, answer, asked_at)
+            changes = self._apply_body(request, answer, asked_at)
         except ValueError as error:
             return f"unreadable: {error}"
-        self._rest_seconds = self._turn.note_answer(_now(), changes=bool(changes))
+        self._pause_seconds = self._turn.note_answer(_now(), changes=bool(changes))
         self.on_answer(changes)
         return None
 
-    def _take_body(
+    def _apply_body(
         self, request: ListRequest | WatchRequest, answer: HttpAnswer, asked_at: float
     ) -> tuple[ObjectChange[Record], ...]:
-        told = self._kind.read_era(answer.headers)
-        era = self._known_era if told is None else told
+        answer_era = self._kind.read_era(answer.headers)
+        era = self._view_era if answer_era is None else answer_era
         self._list_seconds = LIST_SECONDS if not self.watch.must_list else self._list_seconds
         if isinstance(request, ListRequest):
             self.list_seconds.observe(_now() - asked_at)
             page = self._kind.read_page(answer.body, era)
-            self._tell_unreadable(page.unreadable)
-            self._note_older_list(page.revision)
-            return self.watch.take_page(page, asked_at, tells_era=told is not None)
+            self._report_unreadable(page.unreadable)
+            self._report_older_list(page.revision)
+            return self.watch.take_page(page, asked_at, tells_era=answer_era is not None)
         batch = self._kind.read_changes(answer.body, era)
-        self._tell_unreadable(batch.unreadable)
-        return self.watch.take_changes(batch, _now(), tells_era=told is not None)
+        self._report_unreadable(batch.unreadable)
+        return self.watch.take_changes(batch, _now(), tells_era=answer_era is not None)
 
     @property
-    def _known_era(self) -> int:
-        """The era of what is known, which an answer is of that tells none."""
+    def _view_era(self) -> int:
+        """The era of the view, which is assumed for an answer that states none."""
         known = self.watch.view.revision
         return UNKNOWN_ERA if known is None else era_of(known)
 
-    def _note_older_list(self, listed: int) -> None:
-        """Count a list that is older than what is known: it changes nothing."""
+    def _report_older_list(self, listed: int) -> None:
+        """Count and report a list that is older than the view."""
         known = self.watch.view.revision
         if known is not None and listed < known:
             self.counters["lists_older"] += 1
             self.on_older_list(number_of(listed), number_of(known))
 
-    def _tell_unreadable(self, unreadable: tuple[str, ...]) -> None:
+    def _report_unreadable(self, unreadable: tuple[str, ...]) -> None:
         for text in unreadable:
             self.counters["objects_unreadable"] += 1
             self.on_unreadable(text)
