--- a/src/beamloom/standins/client_model.py
+++ b/src/beamloom/standins/client_model.py
@@ -100,7 +100,7 @@
 
     def _quotes_this_flow(self, error: IcmpError) -> bool:
         ends = (error.quoted_source, error.quoted_destination, error.quoted_protocol)
-        return error.unreachable and ends == (self.local, self.remote, self.protocol)
+        return error.is_unreachable and ends == (self.local, self.remote, self.protocol)
 
     def _note_backend(self, backend_id: str) -> None:
         if backend_id not in self.truth.backends:
@@ -195,7 +195,7 @@
 
     def _receive_error(self, error: IcmpError, now: float) -> None:
         if self._quotes_this_flow(error) and not self._connection.ended:
-            self._connection.give_up()
+            self._connection.discard()
             self._conclude_reset("ICMP unreachable", now)
 
     def _advance(self, now: float) -> None:
@@ -223,7 +223,7 @@
             self._connection.abort()
 
     def _conclude_reset(self, detail: str, now: float) -> None:
-        text = self._connection.reset_text
+        text = self._connection.reset_reason
         if text.startswith(RETRY_AFTER_PREFIX):
             self.truth.retry_after = _seconds(text.removeprefix(RETRY_AFTER_PREFIX))
         if self._connection.payload_sent:
--- a/src/beamloom/standins/packets.py
+++ b/src/beamloom/standins/packets.py
@@ -1,9 +1,9 @@
-"""IP packets as clients and backends see them: a typed view, builders and a parser.
+"""Builders and parsers of the IP packets that clients and backends exchange.
 
-A packet travels as the whole payload of a UDP datagram (Generic UDP Encapsulation variant 1): the
-first byte is that of the inner IPv4 (RFC 791) or IPv6 (RFC 8200) header. TCP (RFC 9293) and UDP
-(RFC 768) are built with `struct`, since a load tool builds tens of thousands of packets a second;
-`dpkt` builds ICMP errors and parses whatever is not plain IPv4 with TCP or UDP.
+A packet is the whole payload of a UDP datagram (Generic UDP Encapsulation variant 1), which starts
+with the inner IPv4 (RFC 791) or IPv6 (RFC 8200) header. For the throughput of the load tool, TCP
+(RFC 9293) and UDP (RFC 768) are built with `struct`, and parsed with it if they have no options and
+are in an unfragmented IPv4 packet. `dpkt` builds ICMP errors and parses all other packets.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 
 TIME_TO_LIVE = 64
 RECEIVE_WINDOW = 65_535
-PLAIN_IPV4 = 0x45
-FRAGMENT_BITS = 0x3FFF
+IPV4_WITHOUT_OPTIONS = 0x45
+FRAGMENT_MASK = 0x3FFF
 IPV4_HEADER_SIZE = 20
 IPV4_SOURCE = slice(12, 16)
 IPV4_DESTINATION = slice(16, 20)
@@ -39,7 +39,7 @@
 UDP_CHECKSUM_OFFSET = 6
 UDP_HEADER_SIZE = 8
 ICMP_HEADER_SIZE = 8
-QUOTED_BYTES = 548
+MAXIMUM_QUOTED_BYTES = 548
 ICMP_UNREACHABLE = 3
 ICMP_CODE_HOST = 1
 ICMP_CODE_PORT = 3
@@ -51,16 +51,16 @@
 _IPV6 = struct.Struct("!IHBB16s16s")
 _TCP = struct.Struct("!HHIIBBHHH")
 _UDP = struct.Struct("!HHHH")
-_PSEUDO_TAIL = struct.Struct("!II")
+_PSEUDO_HEADER_TAIL = struct.Struct("!II")
 
 
 class MalformedPacketError(ValueError):
-    """The bytes are no whole IPv4 or IPv6 packet with TCP, UDP or an ICMP error inside."""
+    """The bytes are not a complete IPv4 or IPv6 packet with TCP, UDP or an ICMP error."""
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """A TCP segment or UDP datagram; `sequence` and `acknowledgement` are as on the wire."""
+    """A TCP segment or UDP datagram; `sequence` and `acknowledgement` are modulo 2**32."""
 
     source: SocketAddress
     destination: SocketAddress
@@ -77,26 +77,28 @@
 
     @property
     def sequence_length(self) -> int:
-        """Sequence numbers that the segment takes: its payload, plus one each for SYN and FIN."""
+        """Number of sequence numbers used: the payload size, plus one each for SYN and FIN."""
         return len(self.payload) + self.has(SYN) + self.has(FIN)
 
 
 @dataclass(frozen=True, slots=True)
 class IcmpError:
-    """An ICMP (RFC 792) or ICMPv6 (RFC 4443) error and the ends of the packet that it quotes."""
+    """An ICMP (RFC 792) or ICMPv6 (RFC 4443) message and the addresses of the quoted packet."""
 
     reporter: str
     receiver: str
-    kind: int
+    message_type: int
     code: int
     quoted_source: SocketAddress
     quoted_destination: SocketAddress
     quoted_protocol: TransportProtocol
 
     @property
-    def unreachable(self) -> bool:
-        """Whether the error says that the destination cannot be reached."""
-        return self.kind == (ICMP6_UNREACHABLE if ":" in self.receiver else ICMP_UNREACHABLE)
+    def is_unreachable(self) -> bool:
+        """Whether the type of the message is Destination Unreachable."""
+        return self.message_type == (
+            ICMP6_UNREACHABLE if ":" in self.receiver else ICMP_UNREACHABLE
+        )
 
 
 @lru_cache(maxsize=65_536)
@@ -112,23 +114,23 @@
 
 
 def destination_ip(data: bytes) -> str:
-    """Return the inner destination address; raises MalformedPacketError when there is none."""
-    return _ip_at(data, IPV4_DESTINATION, IPV6_DESTINATION)
+    """Return the inner destination address; raises MalformedPacketError without an IP header."""
+    return _read_address(data, IPV4_DESTINATION, IPV6_DESTINATION)
 
 
 def source_ip(data: bytes) -> str:
-    """Return the inner source address; raises MalformedPacketError when there is none."""
-    return _ip_at(data, IPV4_SOURCE, IPV6_SOURCE)
+    """Return the inner source address; raises MalformedPacketError without an IP header."""
+    return _read_address(data, IPV4_SOURCE, IPV6_SOURCE)
 
 
-def _ip_at(data: bytes, ipv4_field: slice, ipv6_field: slice) -> str:
-    """Return the address in one field of an IPv4 or IPv6 header."""
+def _read_address(data: bytes, ipv4_field: slice, ipv6_field: slice) -> str:
+    """Return the address at the slice for the header's IP version."""
     version = data[0] >> 4 if data else 0
     if version == 4 and len(data) >= IPV4_HEADER_SIZE:
         return unpack_address(data[ipv4_field])
     if version == 6 and len(data) >= IPV6_HEADER_SIZE:
         return unpack_address(data[ipv6_field])
-    raise MalformedPacketError("no IP header; send whole IPv4 or IPv6 packets")
+    raise MalformedPacketError("no IP header; send complete IPv4 or IPv6 packets")
 
 
 def build_packet(packet: Packet) -> bytes:
@@ -137,22 +139,22 @@
     length = len(packet.payload)
     if packet.protocol is TransportProtocol.TCP:
         length += TCP_HEADER_SIZE
-        checksum_at = TCP_CHECKSUM_OFFSET
+        checksum_offset = TCP_CHECKSUM_OFFSET
         content = _tcp_header(packet) + packet.payload
     else:
         length += UDP_HEADER_SIZE
-        checksum_at = UDP_CHECKSUM_OFFSET
+        checksum_offset = UDP_CHECKSUM_OFFSET
         content = _UDP.pack(packet.source.port, packet.destination.port, length, 0) + packet.payload
-    pseudo_header = source + destination + _PSEUDO_TAIL.pack(length, packet.protocol)
+    pseudo_header = source + destination + _PSEUDO_HEADER_TAIL.pack(length, packet.protocol)
     checksum = internet_checksum(pseudo_header + content).to_bytes(2, "big")
-    content = content[:checksum_at] + checksum + content[checksum_at + 2 :]
+    content = content[:checksum_offset] + checksum + content[checksum_offset + 2 :]
     return _ip_header(packet, source, destination, length) + content
 
 
 def internet_checksum(data: bytes) -> int:
-    """Return the Internet checksum (RFC 1071): a sum of 16-bit words is a remainder by 65,535.
+    """Return the Internet checksum (RFC 1071), computed as a remainder modulo 65,535.
 
-    Zero comes out as 65,535, which verifies just as well and which UDP asks for (RFC 768).
+    A checksum of zero is returned as 65,535, its equivalent, as UDP requires (RFC 768).
     """
     padded = data + b"\0" if len(data) % 2 else data
     return 0xFFFF - int.from_bytes(padded, "big") % 0xFFFF
@@ -178,7 +180,7 @@
             6 << 28, length, packet.protocol, packet.time_to_live, source, destination
         )
     header = _IPV4.pack(
-        PLAIN_IPV4,
+        IPV4_WITHOUT_OPTIONS,
         0,
         IPV4_HEADER_SIZE + length,
         0,
@@ -193,8 +195,8 @@
 
 
 def build_unreachable(offending: bytes, reporter: str, *, port_closed: bool = True) -> bytes:
-    """Return the ICMP or ICMPv6 error that says `offending` cannot reach its port or host."""
-    quoted = offending[:QUOTED_BYTES]
+    """Return the ICMP or ICMPv6 Destination Unreachable message for the packet `offending`."""
+    quoted = offending[:MAXIMUM_QUOTED_BYTES]
     destination = pack_address(source_ip(offending))
     if len(destination) == 4:
         code = ICMP_CODE_PORT if port_closed else ICMP_CODE_HOST
@@ -217,35 +219,37 @@
 
 
 def parse_packet(data: bytes) -> Packet | IcmpError:
-    """Return the typed view of a packet; raises MalformedPacketError when it is not one.
+    """Parse a packet; raises MalformedPacketError.
 
-    Plain IPv4 with TCP or UDP, which is nearly every packet, is read at fixed offsets.
+    TCP and UDP without options in an unfragmented IPv4 packet are read at fixed offsets, for speed.
     """
-    if len(data) >= IPV4_HEADER_SIZE + UDP_HEADER_SIZE and data[0] == PLAIN_IPV4:
-        packet = _parse_plain(data)
+    if len(data) >= IPV4_HEADER_SIZE + UDP_HEADER_SIZE and data[0] == IPV4_WITHOUT_OPTIONS:
+        packet = _parse_plain_ipv4(data)
         if packet is not None:
             return packet
-    return parse_any_packet(data)
+    return parse_with_dpkt(data)
 
 
-def parse_any_packet(data: bytes) -> Packet | IcmpError:
-    """Return the typed view of a packet as `dpkt` reads it; raises MalformedPacketError."""
+def parse_with_dpkt(data: bytes) -> Packet | IcmpError:
+    """Parse a packet with `dpkt`; raises MalformedPacketError."""
     try:
         header = _parse_header(data)
         content = header.data
         if isinstance(content, tcp.TCP | udp.UDP):
-            return _view(header, content)
+            return _make_packet(header, content)
         if isinstance(content, icmp.ICMP | icmp6.ICMP6):
-            return _view_error(header, bytes(content))
+            return _make_icmp_error(header, bytes(content))
     except (dpkt.UnpackError, IndexError, ValueError) as error:
-        raise MalformedPacketError(f"{error}; send whole packets") from error
-    raise MalformedPacketError("neither TCP, UDP nor an ICMP error; only these are taken")
+        raise MalformedPacketError(f"{error}; send complete packets") from error
+    raise MalformedPacketError("neither TCP, UDP nor ICMP; send one of these")
 
 
-def _parse_plain(data: bytes) -> Packet | None:
-    """Return the view of a whole IPv4 packet without options or fragments, or None."""
-    _, _, length, _, fragment, lifetime, protocol, _, source, destination = _IPV4.unpack_from(data)
-    if length != len(data) or fragment & FRAGMENT_BITS:
+def _parse_plain_ipv4(data: bytes) -> Packet | None:
+    """Parse TCP or UDP without options in an unfragmented IPv4 packet; None for any other."""
+    _, _, length, _, fragment, time_to_live, protocol, _, source, destination = _IPV4.unpack_from(
+        data
+    )
+    if length != len(data) or fragment & FRAGMENT_MASK:
         return None
     if protocol == TransportProtocol.UDP:
         source_port, destination_port, datagram_length, _ = _UDP.unpack_from(data, IPV4_HEADER_SIZE)
@@ -256,7 +260,7 @@
             SocketAddress(unpack_address(destination), destination_port),
             TransportProtocol.UDP,
             data[IPV4_HEADER_SIZE + UDP_HEADER_SIZE :],
-            time_to_live=lifetime,
+            time_to_live=time_to_live,
         )
     if protocol != TransportProtocol.TCP or length < IPV4_HEADER_SIZE + TCP_HEADER_SIZE:
         return None
@@ -273,7 +277,7 @@
         flags,
         sequence,
         acknowledgement,
-        lifetime,
+        time_to_live,
     )
 
 
@@ -282,11 +286,11 @@
     if version == 4:
         header = ip.IP(data)
         if header.len != len(data):
-            raise MalformedPacketError("IPv4 length differs from the datagram's; packet truncated?")
+            raise MalformedPacketError("IPv4 length differs from the datagram's; truncated packet?")
         return header
     header = ip6.IP6(data)
     if version != 6 or header.plen + IPV6_HEADER_SIZE != len(data):
-        raise MalformedPacketError("no IPv6 packet of the stated length; packet truncated?")
+        raise MalformedPacketError("not an IPv6 packet of the stated length; truncated packet?")
     return header
 
 
@@ -294,13 +298,15 @@
     return int(header.ttl if isinstance(header, ip.IP) else header.hlim)
 
 
-def _view(header: ip.IP | ip6.IP6, content: tcp.TCP | udp.UDP) -> Packet:
+def _make_packet(header: ip.IP | ip6.IP6, content: tcp.TCP | udp.UDP) -> Packet:
     source = SocketAddress(unpack_address(header.src), content.sport)
     destination = SocketAddress(unpack_address(header.dst), content.dport)
-    lifetime = _time_to_live(header)
+    time_to_live = _time_to_live(header)
     payload = bytes(content.data)
     if isinstance(content, udp.UDP):
-        return Packet(source, destination, TransportProtocol.UDP, payload, time_to_live=lifetime)
+        return Packet(
+            source, destination, TransportProtocol.UDP, payload, time_to_live=time_to_live
+        )
     return Packet(
         source,
         destination,
@@ -309,17 +315,17 @@
         content.flags,
         content.seq,
         content.ack,
-        lifetime,
+        time_to_live,
     )
 
 
-def _view_error(header: ip.IP | ip6.IP6, message: bytes) -> IcmpError:
+def _make_icmp_error(header: ip.IP | ip6.IP6, message: bytes) -> IcmpError:
     quoted = message[ICMP_HEADER_SIZE:]
     header_size = (quoted[0] & 15) * 4 if quoted[0] >> 4 == 4 else IPV6_HEADER_SIZE
     protocol = quoted[9] if quoted[0] >> 4 == 4 else quoted[6]
     ports = quoted[header_size : header_size + 4]
     if len(ports) < 4:
-        raise MalformedPacketError("the quoted packet lacks its ports")
+        raise MalformedPacketError("the packet quoted in the ICMP error has no ports")
     return IcmpError(
         unpack_address(header.src),
         unpack_address(header.dst),
--- a/src/beamloom/standins/tcp_connection.py
+++ b/src/beamloom/standins/tcp_connection.py
@@ -1,10 +1,13 @@
-"""One end of a small reliable TCP connection, without I/O.
-
-After RFC 9293, simplified: a fixed send window, segments that keep their borders when sent again,
-an acknowledgement for each second segment and at once for the last of a write. Retransmission backs
-off exponentially from a fixed initial timeout (RFC 6298 without the estimate of the round-trip
-time); three repeated acknowledgements bring it about early (RFC 5681), and partial ones carry it on
-(RFC 6582). Resets are checked after RFC 5961.
+"""One endpoint of a simplified TCP (RFC 9293) connection, without I/O.
+
+- The send window is a fixed number of segments, which are retransmitted with unchanged boundaries.
+- Every second segment is acknowledged; a segment with PSH or FIN, or out of order, at once.
+- The retransmission timeout starts at a fixed value and doubles up to a maximum, without an
+  estimate of the round-trip time (unlike RFC 6298).
+- Three duplicate acknowledgements trigger a fast retransmit (RFC 5681), and partial ones continue
+  the recovery (RFC 6582).
+- A reset is accepted only with the expected sequence number (RFC 5961), or in SYN-SENT only if it
+  acknowledges the SYN.
 """
 
 from __future__ import annotations
@@ -18,11 +21,11 @@
 
 SEQUENCE_MODULUS = 1 << 32
 HALF_SEQUENCE_SPACE = 1 << 31
-REPEATED_ACKNOWLEDGEMENTS = 3
+DUPLICATE_ACKNOWLEDGEMENT_THRESHOLD = 3
 
 
 class ConnectionState(Enum):
-    """Where a connection stands; `OPEN` covers every state after the handshake."""
+    """State of a connection; `OPEN` lasts from the end of the handshake until it ends."""
 
     SYN_SENT = "syn-sent"
     SYN_RECEIVED = "syn-received"
@@ -34,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TcpOptions:
-    """Tuning of a connection; times are in seconds, sizes in bytes."""
+    """Parameters of a connection; times are in seconds, sizes in bytes."""
 
     initial_timeout: float = 1.0
     maximum_timeout: float = 60.0
@@ -55,9 +58,10 @@
 
 
 class TcpConnection:
-    """One end; offsets count from the initial sequence number, so that the SYN is at 0.
+    """One endpoint of a connection.
 
-    Calls change the state and leave segments in `take_packets()` and bytes in `take_data()`.
+    After each call, `take_packets` returns the segments to send and `take_data` the received bytes.
+    Offsets are relative to the initial sequence number and don't wrap; the SYN has offset 0.
     """
 
     def __init__(
@@ -72,104 +76,106 @@
         self.state = ConnectionState.SYN_SENT
         self.payload_sent = False
         self.remote_finished = False
-        self.reset_text = ""
+        self.reset_reason = ""
         self.ignored_resets = 0
         self._options = options
         self._initial_sequence = initial_sequence
-        self._remote_initial = 0
-        self._waiting: deque[_Segment] = deque()
+        self._remote_initial_sequence = 0
+        self._send_queue: deque[_Segment] = deque()
         self._in_flight: deque[_Segment] = deque()
-        self._next_offset = 0
+        self._queue_end = 0
         self._receive_next = 0
         self._out_of_order: dict[int, Packet] = {}
         self._received = bytearray()
-        self._outgoing: list[bytes] = []
+        self._packets: list[bytes] = []
         self._closing = False
-        self._acknowledge = False
-        self._delayed = False
+        self._acknowledgement_due = False
+        self._acknowledgement_delayed = False
         self._ended = False
         self._retransmissions = 0
-        self._repeated_acknowledgements = 0
+        self._duplicate_acknowledgements = 0
         self._recovery_end: int | None = None
-        self._timeout = options.initial_timeout
-        self._timer: float | None = None
+        self._retransmission_timeout = options.initial_timeout
+        self._retransmission_time: float | None = None
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will happen on this connection."""
+        """Whether the connection was closed by both sides, reset or timed out."""
         return self._ended
 
     def connect(self, now: float) -> None:
-        """Open actively: send the SYN."""
-        self._queue(SYN, b"")
+        """Open the connection actively by sending a SYN."""
+        self._enqueue(SYN, b"")
         self._flush(now)
 
     def accept(self, syn: Packet, now: float) -> None:
-        """Open passively in answer to a SYN."""
+        """Open the connection passively by answering a SYN."""
         self.state = ConnectionState.SYN_RECEIVED
-        self._remote_initial = syn.sequence
+        self._remote_initial_sequence = syn.sequence
         self._receive_next = 1
-        self._queue(SYN | ACK, b"")
+        self._enqueue(SYN | ACK, b"")
         self._flush(now)
 
     def send(self, data: bytes, now: float) -> None:
-        """Send bytes, as the handshake and the window allow."""
+        """Queue bytes and send what the handshake and the send window allow."""
         size = self._options.segment_size
         for start in range(0, len(data), size):
             last = start + size >= len(data)
-            self._queue(ACK | PSH if last else ACK, data[start : start + size])
+            self._enqueue(ACK | PSH if last else ACK, data[start : start + size])
         self._flush(now)
 
     def close(self, now: float) -> None:
-        """Send FIN after whatever waits."""
+        """Send a FIN after all queued data."""
         if self._closing or self.ended:
             return
         self._closing = True
-        self._queue(ACK | FIN, b"")
+        self._enqueue(ACK | FIN, b"")
         self._flush(now)
 
     def abort(self) -> None:
-        """Send RST and forget the connection."""
+        """Send an RST and end the connection."""
         if not self.ended:
-            self._emit(_Segment(self._next_sent_offset(), RST | ACK, b""))
+            self._emit(_Segment(self._send_next(), RST | ACK, b""))
             self._end(ConnectionState.RESET)
 
-    def give_up(self) -> None:
-        """End without a packet, as after an ICMP error."""
+    def discard(self) -> None:
+        """End the connection without sending a packet, as after an ICMP error."""
         if not self.ended:
             self._end(ConnectionState.RESET)
 
     def take_packets(self) -> list[bytes]:
-        """Return and forget the packets to send, with an acknowledgement if one is owed."""
-        if self._acknowledge and self.state is not ConnectionState.RESET:
-            self._emit(_Segment(self._next_sent_offset(), ACK, b""))
-        packets, self._outgoing = self._outgoing, []
+        """Remove and return the packets to send, including an acknowledgement that is due."""
+        if self._acknowledgement_due and self.state is not ConnectionState.RESET:
+            self._emit(_Segment(self._send_next(), ACK, b""))
+        packets, self._packets = self._packets, []
         return packets
 
     def take_data(self) -> bytes:
-        """Return and forget the bytes that arrived in order."""
+        """Remove and return the bytes received in order."""
         data = bytes(self._received)
         self._received.clear()
         return data
 
     def next_timer(self) -> float | None:
-        """When to call `poll` next."""
-        return self._timer
+        """Return the time of the next call to `poll`, or None."""
+        return self._retransmission_time
 
     def poll(self, now: float) -> None:
-        """Send again what was not acknowledged in time, or give up."""
-        if self._timer is None or now < self._timer:
+        """Retransmit after a timeout, or end the connection after too many retransmissions."""
+        if self._retransmission_time is None or now < self._retransmission_time:
             return
         if self._retransmissions >= self._options.maximum_retransmissions:
             self._end(ConnectionState.TIMED_OUT)
             return
         self._retransmissions += 1
-        self._timeout = min(2 * self._timeout, self._options.maximum_timeout)
-        self._timer = now + self._timeout
+        self._retransmission_timeout = min(
+            2 * self._retransmission_timeout, self._options.maximum_timeout
+        )
+        self._retransmission_time = now + self._retransmission_timeout
         self._start_recovery()
 
     def receive(self, packet: Packet, now: float) -> None:
-        """Take a segment of this connection."""
+        """Process a segment of this connection."""
         if self.ended:
             self._receive_after_end(packet)
         elif packet.has(RST):
@@ -181,92 +187,97 @@
 
     def _receive_after_end(self, packet: Packet) -> None:
         if self.state is ConnectionState.FINISHED and packet.has(FIN):
-            self._emit(_Segment(self._next_offset, ACK, b""))
+            self._emit(_Segment(self._queue_end, ACK, b""))
         elif not packet.has(RST):
-            self._outgoing.append(build_packet(reset_for(packet)))
+            self._packets.append(build_packet(reset_for(packet)))
 
     def _receive_reset(self, packet: Packet) -> None:
         if self.state is ConnectionState.SYN_SENT:
-            valid = packet.has(ACK) and self._acknowledged(packet) == 1
+            valid = packet.has(ACK) and self._acknowledged_offset(packet) == 1
         else:
-            valid = self._received_offset(packet) == self._receive_next
+            valid = self._segment_offset(packet) == self._receive_next
         if valid:
-            self.reset_text = packet.payload.decode("ascii", "replace")
+            self.reset_reason = packet.payload.decode("ascii", "replace")
             self._end(ConnectionState.RESET)
             return
         self.ignored_resets += 1
         if self.state is ConnectionState.OPEN:
-            self._emit(_Segment(self._next_sent_offset(), ACK, b""))
+            self._emit(_Segment(self._send_next(), ACK, b""))
 
     def _receive_syn_ack(self, packet: Packet, now: float) -> None:
-        if packet.has(ACK) and self._acknowledged(packet) != 1:
-            self._outgoing.append(build_packet(reset_for(packet)))
+        if packet.has(ACK) and self._acknowledged_offset(packet) != 1:
+            self._packets.append(build_packet(reset_for(packet)))
         elif packet.has(SYN) and packet.has(ACK):
-            self._remote_initial = packet.sequence
+            self._remote_initial_sequence = packet.sequence
             self._receive_next = 1
             self.state = ConnectionState.OPEN
-            self._take_acknowledgement(1, now)
-            self._acknowledge = True
+            self._handle_acknowledgement(1, now)
+            self._acknowledgement_due = True
             self._flush(now)
 
     def _receive_segment(self, packet: Packet, now: float) -> None:
         if packet.has(SYN):
-            self._receive_repeated_syn()
+            self._receive_duplicate_syn()
             return
         if not packet.has(ACK):
             return
-        acknowledged = self._acknowledged(packet)
-        if not 0 <= acknowledged <= self._next_sent_offset():
-            self._refuse_acknowledgement(packet)
+        acknowledged = self._acknowledged_offset(packet)
+        if not 0 <= acknowledged <= self._send_next():
+            self._reject_acknowledgement(packet)
             return
         if self.state is ConnectionState.SYN_RECEIVED:
             if acknowledged != 1:
-                self._refuse_acknowledgement(packet)
+                self._reject_acknowledgement(packet)
                 return
             self.state = ConnectionState.OPEN
-        self._note_repeated_acknowledgement(packet, acknowledged)
-        self._take_acknowledgement(acknowledged, now)
+        self._count_duplicate_acknowledgement(packet, acknowledged)
+        self._handle_acknowledgement(acknowledged, now)
         if packet.sequence_length:
-            self._owe_acknowledgement(packet)
-            self._store(packet)
+            self._schedule_acknowledgement(packet)
+            self._store_segment(packet)
         self._flush(now)
         self._finish_if_done()
 
-    def _receive_repeated_syn(self) -> None:
+    def _receive_duplicate_syn(self) -> None:
         if self.state is ConnectionState.SYN_RECEIVED:
             self._emit(self._in_flight[0])
         else:
-            self._emit(_Segment(self._next_sent_offset(), ACK, b""))
+            self._emit(_Segment(self._send_next(), ACK, b""))
 
-    def _refuse_acknowledgement(self, packet: Packet) -> None:
+    def _reject_acknowledgement(self, packet: Packet) -> None:
         if self.state is ConnectionState.SYN_RECEIVED:
-            self._outgoing.append(build_packet(reset_for(packet)))
+            self._packets.append(build_packet(reset_for(packet)))
         else:
-            self._emit(_Segment(self._next_sent_offset(), ACK, b""))
+            self._emit(_Segment(self._send_next(), ACK, b""))
 
-    def _take_acknowledgement(self, acknowledged: int, now: float) -> None:
-        progress = False
+    def _handle_acknowledgement(self, acknowledged: int, now: float) -> None:
+        newly_acknowledged = False
         while self._in_flight and self._in_flight[0].end <= acknowledged:
             self._in_flight.popleft()
-            progress = True
-        if progress:
-            self._repeated_acknowledgements = 0
+            newly_acknowledged = True
+        if newly_acknowledged:
+            self._duplicate_acknowledgements = 0
             self._retransmissions = 0
-            self._timeout = self._options.initial_timeout
-            self._timer = now + self._timeout if self._in_flight else None
+            self._retransmission_timeout = self._options.initial_timeout
+            self._retransmission_time = (
+                now + self._retransmission_timeout if self._in_flight else None
+            )
             self._continue_recovery()
 
-    def _note_repeated_acknowledgement(self, packet: Packet, acknowledged: int) -> None:
+    def _count_duplicate_acknowledgement(self, packet: Packet, acknowledged: int) -> None:
         if packet.sequence_length or not self._in_flight:
             return
         if acknowledged == self._in_flight[0].offset and self._recovery_end is None:
-            self._repeated_acknowledgements += 1
-            if self._repeated_acknowledgements == REPEATED_ACKNOWLEDGEMENTS:
+            self._duplicate_acknowledgements += 1
+            if self._duplicate_acknowledgements == DUPLICATE_ACKNOWLEDGEMENT_THRESHOLD:
                 self._start_recovery()
 
     def _start_recovery(self) -> None:
-        """Send the first segment in flight again, and more as partial acknowledgements come."""
-        self._repeated_acknowledgements = 0
+        """Retransmit the first segment in flight, and the next after each partial acknowledgement.
+
+        The recovery covers the segments in flight at this time.
+        """
+        self._duplicate_acknowledgements = 0
         self._recovery_end = self._in_flight[-1].end
         self._emit(self._in_flight[0])
 
@@ -278,14 +289,19 @@
         else:
             self._emit(self._in_flight[0])
 
-    def _owe_acknowledgement(self, packet: Packet) -> None:
-        """Owe one for each second segment, or at once: RFC 9293 section 3.8.6.3."""
-        expected = self._received_offset(packet) == self._receive_next and not self._out_of_order
-        self._delayed = expected and not packet.flags & (PSH | FIN) and not self._delayed
-        self._acknowledge = self._acknowledge or not self._delayed
+    def _schedule_acknowledgement(self, packet: Packet) -> None:
+        """Delay the acknowledgement until a second segment arrives (RFC 9293 section 3.8.6.3).
+
+        A segment with PSH or FIN, or out of order, is acknowledged at once.
+        """
+        in_order = self._segment_offset(packet) == self._receive_next and not self._out_of_order
+        self._acknowledgement_delayed = (
+            in_order and not packet.flags & (PSH | FIN) and not self._acknowledgement_delayed
+        )
+        self._acknowledgement_due = self._acknowledgement_due or not self._acknowledgement_delayed
 
-    def _store(self, packet: Packet) -> None:
-        offset = self._received_offset(packet)
+    def _store_segment(self, packet: Packet) -> None:
+        offset = self._segment_offset(packet)
         limit = self._receive_next + 4 * self._options.window_segments * self._options.segment_size
         if offset + packet.sequence_length <= self._receive_next or offset > limit:
             return
@@ -296,39 +312,39 @@
             self.remote_finished = self.remote_finished or ready.has(FIN)
 
     def _finish_if_done(self) -> None:
-        if self._closing and self.remote_finished and not self._in_flight and not self._waiting:
+        if self._closing and self.remote_finished and not self._in_flight and not self._send_queue:
             self._end(ConnectionState.FINISHED)
 
-    def _queue(self, flags: int, payload: bytes) -> None:
-        segment = _Segment(self._next_offset, flags, payload)
-        self._next_offset = segment.end
-        self._waiting.append(segment)
+    def _enqueue(self, flags: int, payload: bytes) -> None:
+        segment = _Segment(self._queue_end, flags, payload)
+        self._queue_end = segment.end
+        self._send_queue.append(segment)
 
     def _flush(self, now: float) -> None:
         if self.ended:
             return
-        while self._waiting and self._may_send(self._waiting[0]):
-            segment = self._waiting.popleft()
+        while self._send_queue and self._may_send(self._send_queue[0]):
+            segment = self._send_queue.popleft()
             self._in_flight.append(segment)
             self._emit(segment)
-        if self._in_flight and self._timer is None:
-            self._timer = now + self._timeout
+        if self._in_flight and self._retransmission_time is None:
+            self._retransmission_time = now + self._retransmission_timeout
 
     def _may_send(self, segment: _Segment) -> bool:
         if segment.flags & SYN:
             return True
-        opened = self.state is ConnectionState.OPEN
-        return opened and len(self._in_flight) < self._options.window_segments
+        is_open = self.state is ConnectionState.OPEN
+        return is_open and len(self._in_flight) < self._options.window_segments
 
-    def _next_sent_offset(self) -> int:
-        return self._waiting[0].offset if self._waiting else self._next_offset
+    def _send_next(self) -> int:
+        return self._send_queue[0].offset if self._send_queue else self._queue_end
 
     def _emit(self, segment: _Segment) -> None:
         self.payload_sent = self.payload_sent or bool(segment.payload)
         if segment.flags & ACK:
-            self._acknowledge = False
-            self._delayed = False
-        remote_next = (self._remote_initial + self._receive_next) % SEQUENCE_MODULUS
+            self._acknowledgement_due = False
+            self._acknowledgement_delayed = False
+        remote_next = (self._remote_initial_sequence + self._receive_next) % SEQUENCE_MODULUS
         packet = Packet(
             self.local,
             self.remote,
@@ -338,34 +354,34 @@
             (self._initial_sequence + segment.offset) % SEQUENCE_MODULUS,
             remote_next if segment.flags & ACK else 0,
         )
-        self._outgoing.append(build_packet(packet))
+        self._packets.append(build_packet(packet))
 
     def _end(self, state: ConnectionState) -> None:
         self.state = state
         self._ended = True
-        self._timer = None
-        self._waiting.clear()
+        self._retransmission_time = None
+        self._send_queue.clear()
         self._in_flight.clear()
         self._out_of_order.clear()
 
-    def _acknowledged(self, packet: Packet) -> int:
-        wire = packet.acknowledgement - self._initial_sequence
-        return _nearest(wire, self._next_offset)
+    def _acknowledged_offset(self, packet: Packet) -> int:
+        wire_offset = packet.acknowledgement - self._initial_sequence
+        return _unwrap_offset(wire_offset, self._queue_end)
 
-    def _received_offset(self, packet: Packet) -> int:
-        return _nearest(packet.sequence - self._remote_initial, self._receive_next)
+    def _segment_offset(self, packet: Packet) -> int:
+        return _unwrap_offset(packet.sequence - self._remote_initial_sequence, self._receive_next)
 
 
-def _nearest(wire_offset: int, expected: int) -> int:
-    """Return the offset nearest to `expected` that equals `wire_offset` modulo 2**32."""
+def _unwrap_offset(wire_offset: int, expected: int) -> int:
+    """Return the offset closest to `expected` that equals `wire_offset` modulo 2**32."""
     distance = (wire_offset - expected + HALF_SEQUENCE_SPACE) % SEQUENCE_MODULUS
     return expected + distance - HALF_SEQUENCE_SPACE
 
 
 def reset_for(packet: Packet, text: str = "") -> Packet:
-    """Return the RST that answers a segment without a connection (RFC 9293 section 3.10.7.1).
+    """Return the RST for a segment that belongs to no connection (RFC 9293 section 3.10.7.1).
 
-    `text` may say why, as section 3.5.3 allows.
+    `text` is the reason, sent as the payload of the RST (section 3.5.3).
     """
     reset = Packet(
         packet.destination, packet.source, TransportProtocol.TCP, text.encode(), flags=RST
--- a/src/beamloom/standins/timers.py
+++ b/src/beamloom/standins/timers.py
@@ -1,4 +1,4 @@
-"""A heap of named timers in which re-arming a timer costs no search."""
+"""A heap of keyed timers that re-arms a timer without searching the heap."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 
 class TimerHeap(Generic[Key]):
-    """At most one time per key, in seconds; times that were overridden are dropped lazily."""
+    """At most one time per key, in seconds; replaced entries are dropped at the top of the heap."""
 
     def __init__(self) -> None:
         self._times: dict[Key, float] = {}
         self._heap: list[tuple[float, int, Key]] = []
-        self._order = count()
+        self._sequence = count()
 
     def arm(self, key: Key, when: float | None) -> None:
-        """Set the time of `key`, or remove it when `when` is None."""
+        """Set the timer of `key`, or remove it if `when` is None."""
         if when is None:
             self._times.pop(key, None)
         elif self._times.get(key) != when:
             self._times[key] = when
-            heapq.heappush(self._heap, (when, next(self._order), key))
+            heapq.heappush(self._heap, (when, next(self._sequence), key))
 
     def next_time(self) -> float | None:
-        """Return the earliest time, or None when nothing is armed."""
+        """Return the earliest time, or None if no timer is armed."""
         while self._heap and self._times.get(self._heap[0][2]) != self._heap[0][0]:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now: float) -> list[Key]:
-        """Remove and return the keys whose time has come, earliest first."""
+        """Remove the timers that are due and return their keys, earliest first."""
         due: list[Key] = []
         while (when := self.next_time()) is not None and when <= now:
             key = heapq.heappop(self._heap)[2]
--- a/tests/unit/standin_network.py
+++ b/tests/unit/standin_network.py
@@ -1,4 +1,4 @@
-"""A network on a virtual clock between one client host and some backends, for tests."""
+"""A simulated network on a virtual clock, between a client host and backends."""
 
 import heapq
 import random
@@ -16,10 +16,10 @@
 CLIENT_V6 = SocketAddress("2001:db8::7", 40_000)
 DELAY = 0.001
 
-Fate = Callable[[], Iterable[float]]
+DelaySource = Callable[[], Iterable[float]]
 
 
-def deliver_once() -> Iterable[float]:
+def deliver_one_copy() -> Iterable[float]:
     return (DELAY,)
 
 
@@ -32,25 +32,30 @@
 
 
 class Network:
-    """Carries packets; `fate` gives the delays of a packet's copies, `route` names its backend."""
+    """Delivers packets between `host` and the backend at `backend_index`.
 
-    def __init__(self, *backends: BackendModel, fate: Fate = deliver_once) -> None:
+    `next_delays` returns the delay of each copy of a packet: none drops it, two duplicate it.
+    """
+
+    def __init__(
+        self, *backends: BackendModel, next_delays: DelaySource = deliver_one_copy
+    ) -> None:
         self.now = 0.0
         self.host = ClientHost()
         self.backends = backends
-        self.route = 0
-        self.fate = fate
+        self.backend_index = 0
+        self.next_delays = next_delays
         self._order = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
     def from_client(self, packets: list[bytes]) -> None:
         for data in packets:
-            for delay in self.fate():
+            for delay in self.next_delays():
                 self._at(delay, lambda data=data: self._reach_backend(data))
 
     def from_backend(self, packets: list[bytes]) -> None:
         for data in packets:
-            for delay in self.fate():
+            for delay in self.next_delays():
                 self._at(delay, lambda data=data: self._reach_client(data))
 
     def run(self, until: float) -> None:
@@ -72,7 +77,7 @@
         return min((time for time in times if time is not None), default=None)
 
     def _reach_backend(self, data: bytes) -> None:
-        self.from_backend(self.backends[self.route].receive(data, self.now))
+        self.from_backend(self.backends[self.backend_index].receive(data, self.now))
 
     def _reach_client(self, data: bytes) -> None:
         self.from_client(self.host.receive(data, self.now))
--- a/tests/unit/test_standins.py
+++ b/tests/unit/test_standins.py
@@ -85,7 +85,7 @@
         chance = random.Random(3)
         fates = [(), (DELAY,), (DELAY, 3 * DELAY), (0.3,), (DELAY,)]
         backend = make_backend()
-        network = Network(backend, fate=lambda: chance.choice(fates))
+        network = Network(backend, next_delays=lambda: chance.choice(fates))
         flow = request(size=40_000, deadline=300.0)
         network.from_client(network.host.start(flow, 0.0))
         network.run(400.0)
@@ -156,7 +156,7 @@
         for flow in (first, second):
             network.from_client(network.host.start(flow, 0.0))
         network.run(0.5)
-        network.fate = lambda: ()
+        network.next_delays = lambda: ()
         network.run(20.0)
         self.assertEqual(second.outcome, Outcome.TIMED_OUT)
         self.assertNotIn("r1", backend.truth.runs)
@@ -175,7 +175,7 @@
         self, script: list[tuple[float, ...]], size: int, connection_limit: int
     ) -> None:
         backend = make_backend(options=BackendOptions(connection_limit=connection_limit))
-        network = Network(backend, fate=ScriptedFate(script))
+        network = Network(backend, next_delays=ScriptedFate(script))
         flow = request(size=size)
         network.from_client(network.host.start(flow, 0.0))
         network.run(200.0)
@@ -219,7 +219,7 @@
         flow = stream()
         network.from_client(network.host.start(flow, 0.0))
         network.run(12.0)
-        network.route = 1
+        network.backend_index = 1
         network.run(20.0)
         self.assertEqual((flow.outcome, flow.truth.broken), (Outcome.RESET, True))
         self.assertEqual(wrong.truth.unknown_segments, 1)
@@ -229,7 +229,7 @@
         flow = stream()
         network.from_client(network.host.start(flow, 0.0))
         network.run(12.0)
-        network.fate = lambda: ()
+        network.next_delays = lambda: ()
         network.run(60.0)
         self.assertEqual((flow.outcome, flow.truth.broken), (Outcome.TIMED_OUT, True))
 
@@ -261,7 +261,7 @@
 class DatagramTest(unittest.TestCase):
     def test_repeated_datagram_runs_once(self) -> None:
         backend = make_backend(service=UDP_SERVICE)
-        network = Network(backend, fate=ScriptedFate([(DELAY, 2 * DELAY), (), (), ()]))
+        network = Network(backend, next_delays=ScriptedFate([(DELAY, 2 * DELAY), (), (), ()]))
         flow = udp_request(size=2_500)
         network.from_client(network.host.start(flow, 0.0))
         network.run(20.0)
@@ -269,7 +269,7 @@
         self.assertEqual(len(backend.truth.runs["u1"]), 1)
 
     def test_silence_is_not_a_refusal(self) -> None:
-        network = Network(make_backend(service=UDP_SERVICE), fate=lambda: ())
+        network = Network(make_backend(service=UDP_SERVICE), next_delays=lambda: ())
         flow = udp_request()
         network.from_client(network.host.start(flow, 0.0))
         network.run(60.0)
