--- a/src/beamloom/standins/application.py
+++ b/src/beamloom/standins/application.py
@@ -1,8 +1,7 @@
-"""The small application protocol of the stand-ins: framed CBOR requests and answers.
+"""The application protocol of the stand-ins: CBOR requests and answers.
 
-Over TCP each message is preceded by its length (4 bytes, network order); over UDP one datagram
-holds one message. The body of an answer follows from the request's id, so that a client can tell a
-whole and right answer from any other.
+Over TCP each message follows its length (4 bytes, network order); over UDP each datagram is one
+message. The body of an answer is derived from the request's id, so that a client can verify it.
 """
 
 from __future__ import annotations
@@ -19,18 +18,22 @@
 
 
 class ApplicationError(ValueError):
-    """The bytes are no message of this protocol."""
+    """The bytes are not a valid message of this protocol."""
 
 
 class RequestKind(IntEnum):
-    """What a request is for; the backend's service time depends on it."""
+    """Kind of a request; the backend's service time may depend on it."""
 
     DOCUMENT = 1
     UPDATE = 2
 
 
 class AnswerStatus(IntEnum):
-    """What became of a request: only `RUN` says that it ran; `PUSH` answers no request."""
+    """Status of an answer.
+
+    RUN: the request ran. SHED: rejected by a full backend. REFUSED: its deadline passed before it
+    could start. PUSH: a message from the backend that belongs to no request.
+    """
 
     RUN = 1
     SHED = 2
@@ -40,7 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request; `deadline_milliseconds` counts from its arrival (0: none), `size` is in bytes."""
+    """A request; the backend must start it within `deadline_milliseconds` of arrival (0: no limit).
+
+    `size` is the size of the answer's body in bytes.
+    """
 
     request_id: str
     kind: RequestKind
@@ -62,12 +68,12 @@
 
 
 def answer_body(request_id: str, size: int) -> bytes:
-    """Return the `size` bytes that are the right answer to a request."""
+    """Return the expected body of `size` bytes for a request id."""
     return hashlib.shake_128(request_id.encode()).digest(size)
 
 
 def answer_parts(request: Request, backend_id: str) -> list[Answer]:
-    """Return the whole answer to a request that ran, in parts that each fit one packet."""
+    """Return the complete answer to a request that ran, in parts that each fit in a packet."""
     body = answer_body(request.request_id, request.size)
     pieces = [body[start : start + PART_SIZE] for start in range(0, len(body), PART_SIZE)] or [b""]
     total = len(pieces)
@@ -78,7 +84,7 @@
 
 
 def encode_message(message: Request | Answer) -> bytes:
-    """Return one message as CBOR, without a length."""
+    """Return a message as CBOR, without a length prefix."""
     if isinstance(message, Request):
         return cbor2.dumps(
             (
@@ -102,43 +108,45 @@
 
 
 def frame(message: Request | Answer) -> bytes:
-    """Return one message with its length before it."""
+    """Return a message as CBOR with its length prefix."""
     body = encode_message(message)
     return len(body).to_bytes(LENGTH_SIZE, "big") + body
 
 
 def decode_request(data: bytes) -> Request:
-    """Return a request; raises ApplicationError when the bytes are none."""
+    """Decode a request; raises ApplicationError if the bytes are not a valid one."""
     try:
         request_id, kind, repeatable, deadline, size = cbor2.loads(data)
         return Request(str(request_id), RequestKind(kind), bool(repeatable), deadline, size)
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
-        raise ApplicationError(f"no request: {error}") from error
+        raise ApplicationError(f"invalid request: {error}") from error
 
 
 def decode_answer(data: bytes) -> Answer:
-    """Return an answer; raises ApplicationError when the bytes are none."""
+    """Decode an answer; raises ApplicationError if the bytes are not a valid one."""
     try:
         request_id, backend_id, status, part, total, body = cbor2.loads(data)
         return Answer(str(request_id), str(backend_id), AnswerStatus(status), part, total, body)
     except (cbor2.CBORDecodeError, TypeError, ValueError) as error:
-        raise ApplicationError(f"no answer: {error}") from error
+        raise ApplicationError(f"invalid answer: {error}") from error
 
 
 class FrameDecoder:
-    """Cuts a byte stream into the frames that it holds."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes in order and return each frame now whole; raises ApplicationError."""
+        """Append bytes and return the frames now complete; raises ApplicationError if too large."""
         self._buffer += data
         frames: list[bytes] = []
         while len(self._buffer) >= LENGTH_SIZE:
             length = int.from_bytes(self._buffer[:LENGTH_SIZE], "big")
             if length > MAXIMUM_FRAME_SIZE:
-                raise ApplicationError(f"a frame of {length} bytes; send smaller parts")
+                raise ApplicationError(
+                    f"frame of {length} bytes exceeds {MAXIMUM_FRAME_SIZE}; send smaller parts"
+                )
             if len(self._buffer) < LENGTH_SIZE + length:
                 break
             frames.append(self._buffer[LENGTH_SIZE : LENGTH_SIZE + length])
--- a/src/beamloom/standins/client_model.py
+++ b/src/beamloom/standins/client_model.py
@@ -1,7 +1,7 @@
-"""Clients without I/O: one object per flow, which knows truly what became of it.
+"""Base classes of client flows, without I/O: each flow records its own outcome.
 
-Call `start`, `receive`, `poll` and `cancel` with a time `now` in seconds; each returns the packets
-to send. `next_timer` says when to call `poll`. A flow that has ended has an `outcome`.
+`start`, `receive`, `poll` and `cancel` take the time `now` in seconds and return the packets to
+send. `next_timer` returns when to call `poll`. `outcome` is set when the flow ends.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
 
 class Outcome(StrEnum):
-    """What a client knows at the end of a flow.
+    """Result of a flow as its client observed it.
 
-    REFUSED: truly not run. RESET and TIMED_OUT: unknown. ANSWERED: the whole right answer came, or
-    a stream was closed as planned. CANCELLED: the client itself gave it up.
+    ANSWERED: the complete, correct answer arrived, or a stream closed with all updates answered.
+    REFUSED: no request ran. RESET, TIMED_OUT: one may have run. CANCELLED: ended by the client.
     """
 
     ANSWERED = "answered"
@@ -41,7 +41,11 @@
 
 @dataclass(slots=True)
 class FlowTruth:
-    """What a flow saw, for the oracle; times are in seconds on the caller's clock."""
+    """What the client observed of one flow; times are in seconds on the caller's clock.
+
+    `broken` is set if an established TCP flow was reset or timed out, or a UDP flow timed out after
+    a part of its answer.
+    """
 
     flow_id: str
     started_at: float = 0.0
@@ -65,7 +69,7 @@
 
 
 class ClientFlow(ABC):
-    """What every kind of flow has in common."""
+    """Interface and common state of all kinds of flow."""
 
     def __init__(self, flow_id: str, local: SocketAddress, service: VirtualAddress) -> None:
         self.local = local
@@ -75,38 +79,38 @@
 
     @property
     def outcome(self) -> Outcome | None:
-        """What became of the flow, or None while it is under way."""
+        """Result of the flow, or None until it has ended."""
         return self.truth.outcome
 
     @abstractmethod
     def start(self, now: float) -> list[bytes]:
-        """Open the flow."""
+        """Start the flow."""
 
     @abstractmethod
     def receive(self, packet: Packet | IcmpError, now: float) -> list[bytes]:
-        """Take a packet addressed to this flow."""
+        """Process a packet for this flow."""
 
     @abstractmethod
     def poll(self, now: float) -> list[bytes]:
-        """Do whatever is due."""
+        """Perform the actions that are due."""
 
     @abstractmethod
     def next_timer(self) -> float | None:
-        """When to call `poll`."""
+        """Return the time of the next call to `poll`, or None."""
 
     @abstractmethod
     def cancel(self, now: float) -> list[bytes]:
-        """Give the flow up."""
+        """Cancel the flow."""
 
-    def _quotes_this_flow(self, error: IcmpError) -> bool:
-        ends = (error.quoted_source, error.quoted_destination, error.quoted_protocol)
-        return error.is_unreachable and ends == (self.local, self.remote, self.protocol)
+    def _is_unreachable_error(self, error: IcmpError) -> bool:
+        quoted_flow = (error.quoted_source, error.quoted_destination, error.quoted_protocol)
+        return error.is_unreachable and quoted_flow == (self.local, self.remote, self.protocol)
 
     def _note_backend(self, backend_id: str) -> None:
         if backend_id not in self.truth.backends:
             self.truth.backends.append(backend_id)
 
-    def _conclude(self, outcome: Outcome, detail: str, now: float) -> None:
+    def _end(self, outcome: Outcome, detail: str, now: float) -> None:
         if self.truth.outcome is None:
             self.truth.outcome = outcome
             self.truth.detail = detail
@@ -114,7 +118,7 @@
 
 
 class TcpFlow(ClientFlow):
-    """A flow over TCP; subclasses say what to send and what to do with answers."""
+    """A flow over TCP; subclasses implement the requests and the handling of answers."""
 
     def __init__(
         self,
@@ -122,127 +126,127 @@
         local: SocketAddress,
         service: VirtualAddress,
         tcp: TcpOptions,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         super().__init__(flow_id, local, service)
-        self._connection = TcpConnection(local, self.remote, chance.getrandbits(32), tcp)
+        self._connection = TcpConnection(local, self.remote, rng.getrandbits(32), tcp)
         self._frames = FrameDecoder()
 
     @property
     def connection_state(self) -> ConnectionState:
-        """Where the connection stands, which may outlive the outcome by its closing."""
+        """State of the TCP connection, which may still be closing when the flow has ended."""
         return self._connection.state
 
     def start(self, now: float) -> list[bytes]:
-        """Open the flow: send the SYN."""
+        """Start the connection and queue the first request."""
         self.truth.started_at = now
         self._connection.connect(now)
-        self._begin(now)
+        self._send_first(now)
         return self._connection.take_packets()
 
     def receive(self, packet: Packet | IcmpError, now: float) -> list[bytes]:
-        """Take a segment of this connection, or an ICMP error about it."""
+        """Process a segment of this connection or an ICMP error about it."""
         if isinstance(packet, IcmpError):
-            self._receive_error(packet, now)
+            self._receive_icmp_error(packet, now)
         else:
             self._connection.receive(packet, now)
-        self._advance(now)
+        self._process_connection(now)
         return self._connection.take_packets()
 
     def poll(self, now: float) -> list[bytes]:
-        """Send again what is due, and do what the application has due."""
+        """Retransmit, perform due actions, and abort a connection that closes for too long."""
         self._connection.poll(now)
-        self._advance(now)
+        self._process_connection(now)
         if self.outcome is None:
-            self._do_due(now)
+            self._run_due_actions(now)
         elif now >= self._linger_until():
             self._connection.abort()
         return self._connection.take_packets()
 
     def next_timer(self) -> float | None:
-        """When to call `poll`."""
+        """Return the time of the next call to `poll`, or None."""
         times = [self._connection.next_timer()]
         if self.outcome is None:
-            times.append(self._next_due())
+            times.append(self._next_action_time())
         elif not self._connection.ended:
             times.append(self._linger_until())
         return min((time for time in times if time is not None), default=None)
 
     def cancel(self, now: float) -> list[bytes]:
-        """Give the flow up: send RST, by which the backend frees what it holds."""
-        self._conclude(Outcome.CANCELLED, "cancelled by the client", now)
+        """Cancel the flow and send an RST, so that the backend releases its resources."""
+        self._end(Outcome.CANCELLED, "cancelled by the client", now)
         self._connection.abort()
         return self._connection.take_packets()
 
     @abstractmethod
-    def _begin(self, now: float) -> None:
-        """Queue what is to be sent first."""
+    def _send_first(self, now: float) -> None:
+        """Queue the first request."""
 
     @abstractmethod
-    def _take_answer(self, answer: Answer, now: float) -> None:
-        """Take one message from the backend."""
+    def _handle_answer(self, answer: Answer, now: float) -> None:
+        """Process one message from the backend."""
 
     @abstractmethod
-    def _do_due(self, now: float) -> None:
-        """Do what the application has due."""
+    def _run_due_actions(self, now: float) -> None:
+        """Perform the flow's own actions that are due."""
 
     @abstractmethod
-    def _next_due(self) -> float | None:
-        """When the application has something due."""
+    def _next_action_time(self) -> float | None:
+        """Return the time of the flow's next own action, or None."""
 
     def _linger_until(self) -> float:
         return (self.truth.ended_at or 0.0) + LINGER_SECONDS
 
-    def _receive_error(self, error: IcmpError, now: float) -> None:
-        if self._quotes_this_flow(error) and not self._connection.ended:
+    def _receive_icmp_error(self, error: IcmpError, now: float) -> None:
+        if self._is_unreachable_error(error) and not self._connection.ended:
             self._connection.discard()
-            self._conclude_reset("ICMP unreachable", now)
+            self._handle_reset("ICMP unreachable", now)
 
-    def _advance(self, now: float) -> None:
+    def _process_connection(self, now: float) -> None:
         state = self._connection.state
         if state is ConnectionState.OPEN and self.truth.established_at is None:
             self.truth.established_at = now
-        self._read(now)
+        self._read_answers(now)
         if self.outcome is not None:
             return
         if state is ConnectionState.RESET:
-            self._conclude_reset("RST", now)
+            self._handle_reset("RST", now)
         elif state is ConnectionState.TIMED_OUT:
-            self._conclude_silence("no acknowledgement", now)
+            self._end_timed_out("no acknowledgement", now)
         elif self._connection.remote_finished:
-            self._conclude_cut("closed by the backend before the end", now)
+            self._end_reset("closed by the backend before the end", now)
 
-    def _read(self, now: float) -> None:
+    def _read_answers(self, now: float) -> None:
         try:
             for data in self._frames.feed(self._connection.take_data()):
                 answer = decode_answer(data)
                 self._note_backend(answer.backend_id)
-                self._take_answer(answer, now)
+                self._handle_answer(answer, now)
         except ApplicationError as error:
-            self._conclude_cut(str(error), now)
+            self._end_reset(str(error), now)
             self._connection.abort()
 
-    def _conclude_reset(self, detail: str, now: float) -> None:
+    def _handle_reset(self, detail: str, now: float) -> None:
         text = self._connection.reset_reason
         if text.startswith(RETRY_AFTER_PREFIX):
-            self.truth.retry_after = _seconds(text.removeprefix(RETRY_AFTER_PREFIX))
+            self.truth.retry_after = _parse_seconds(text.removeprefix(RETRY_AFTER_PREFIX))
         if self._connection.payload_sent:
-            self._conclude_cut(detail, now)
+            self._end_reset(detail, now)
         else:
-            self._conclude(Outcome.REFUSED, f"{detail} before any payload", now)
+            self._end(Outcome.REFUSED, f"{detail} before any payload", now)
 
-    def _conclude_cut(self, detail: str, now: float) -> None:
+    def _end_reset(self, detail: str, now: float) -> None:
         if self.outcome is None:
             self.truth.broken = self.truth.established_at is not None
-            self._conclude(Outcome.RESET, detail, now)
+            self._end(Outcome.RESET, detail, now)
 
-    def _conclude_silence(self, detail: str, now: float) -> None:
+    def _end_timed_out(self, detail: str, now: float) -> None:
         if self.outcome is None:
             self.truth.broken = self.truth.established_at is not None
-            self._conclude(Outcome.TIMED_OUT, detail, now)
+            self._end(Outcome.TIMED_OUT, detail, now)
 
 
-def _seconds(text: str) -> float | None:
+def _parse_seconds(text: str) -> float | None:
     try:
         return float(text)
     except ValueError:
--- a/tests/unit/test_standins.py
+++ b/tests/unit/test_standins.py
@@ -1,4 +1,4 @@
-"""Clients and backends on a virtual network: what each knows must be what truly happened."""
+"""Clients and backends on a simulated network: recorded outcomes must match what happened."""
 
 import random
 import unittest
@@ -14,7 +14,7 @@
 from beamloom.standins.backend_model import BackendOptions
 from beamloom.standins.client_model import Outcome
 from beamloom.standins.client_request import (
-    AnswerAssembly,
+    AnswerAssembler,
     RequestFlow,
     RequestOptions,
     UdpRequestFlow,
@@ -58,8 +58,8 @@
     return UdpRequestFlow(options, random.Random(1))
 
 
-class ScriptedFate:
-    """Drops, doubles or delays packets by a script, then delivers each once."""
+class ScriptedDelays:
+    """Drops, duplicates or delays packets as listed, then delivers each once."""
 
     def __init__(self, script: list[tuple[float, ...]]) -> None:
         self._script = iter(script)
@@ -69,7 +69,7 @@
 
 
 class RequestTest(unittest.TestCase):
-    def test_whole_answer_over_both_families_and_nothing_left_open(self) -> None:
+    def test_complete_answer_over_ipv4_and_ipv6_leaves_no_connection_open(self) -> None:
         for service in (SERVICE, SERVICE_V6):
             backend = make_backend(service=service)
             network = Network(backend)
@@ -81,18 +81,18 @@
             self.assertEqual(len(backend.truth.runs["r1"]), 1)
             self.assertEqual((backend.open_connections, len(network.host)), (0, 0))
 
-    def test_loss_duplication_and_reordering_give_the_whole_answer(self) -> None:
-        chance = random.Random(3)
-        fates = [(), (DELAY,), (DELAY, 3 * DELAY), (0.3,), (DELAY,)]
+    def test_complete_answer_despite_loss_duplication_and_reordering(self) -> None:
+        rng = random.Random(3)
+        delay_choices = [(), (DELAY,), (DELAY, 3 * DELAY), (0.3,), (DELAY,)]
         backend = make_backend()
-        network = Network(backend, next_delays=lambda: chance.choice(fates))
+        network = Network(backend, next_delays=lambda: rng.choice(delay_choices))
         flow = request(size=40_000, deadline=300.0)
         network.from_client(network.host.start(flow, 0.0))
         network.run(400.0)
         self.assertEqual(flow.outcome, Outcome.ANSWERED)
         self.assertEqual(len(backend.truth.runs["r1"]), 1)
 
-    def test_connection_limit_refuses_before_anything_ran(self) -> None:
+    def test_connection_limit_refuses_the_flow_before_its_request_runs(self) -> None:
         backend = make_backend(options=BackendOptions(connection_limit=0, retry_after=2.5))
         network = Network(backend)
         flow = request()
@@ -101,14 +101,14 @@
         self.assertEqual((flow.outcome, flow.truth.retry_after), (Outcome.REFUSED, 2.5))
         self.assertEqual((backend.truth.runs, flow.truth.broken), ({}, False))
 
-    def test_unreachable_in_answer_to_syn_is_a_refusal(self) -> None:
+    def test_icmp_unreachable_in_answer_to_syn_is_a_refusal(self) -> None:
         network = Network(make_backend())
         flow = request()
         syn = network.host.start(flow, 0.0)[0]
         network.host.receive(build_unreachable(syn, "10.0.0.9"), 0.1)
         self.assertEqual(flow.outcome, Outcome.REFUSED)
 
-    def test_full_queue_sheds_what_it_does_not_run(self) -> None:
+    def test_full_queue_sheds_requests_without_running_them(self) -> None:
         backend = make_backend(options=SLOW)
         network = Network(backend)
         flows = [request(f"r{number}", 40_000 + number) for number in range(3)]
@@ -125,7 +125,7 @@
             (sorted(backend.truth.runs), backend.truth.shed_requests), (["r0", "r1"], 1)
         )
 
-    def test_cancelled_before_its_start_does_not_run(self) -> None:
+    def test_request_cancelled_before_its_start_does_not_run(self) -> None:
         backend = make_backend(options=SLOW)
         network = Network(backend)
         first, second = request("r0", 40_000), request("r1", 40_001)
@@ -149,7 +149,7 @@
         network.run(0.3)
         self.assertIn("r1", backend.truth.runs)
 
-    def test_deadline_that_passed_before_the_start_is_not_run(self) -> None:
+    def test_request_whose_deadline_passed_in_the_queue_does_not_run(self) -> None:
         backend = make_backend(options=SLOW)
         network = Network(backend)
         first, second = request("r0", 40_000), request("r1", 40_001, deadline=0.9)
@@ -171,11 +171,11 @@
         st.sampled_from([1, 900, 9_000]),
         st.sampled_from([0, 1, 2_000]),
     )
-    def test_any_schedule_gives_the_whole_answer_or_says_so(
+    def test_outcome_matches_the_runs_under_any_delivery_schedule(
         self, script: list[tuple[float, ...]], size: int, connection_limit: int
     ) -> None:
         backend = make_backend(options=BackendOptions(connection_limit=connection_limit))
-        network = Network(backend, next_delays=ScriptedFate(script))
+        network = Network(backend, next_delays=ScriptedDelays(script))
         flow = request(size=size)
         network.from_client(network.host.start(flow, 0.0))
         network.run(200.0)
@@ -189,7 +189,7 @@
 
 
 class StreamTest(unittest.TestCase):
-    def test_updates_and_pushes_until_the_planned_end(self) -> None:
+    def test_stream_sends_updates_and_receives_pushes_until_its_duration(self) -> None:
         backend = make_backend()
         network = Network(backend)
         flow = stream(duration=3_600.0)
@@ -202,7 +202,7 @@
         self.assertEqual((truth.updates_answered, truth.pushes), (truth.updates_sent, 1))
         self.assertGreaterEqual(truth.updates_sent, 719)
 
-    def test_poll_at_the_silence_limit_ends_the_flow_at_any_start(self) -> None:
+    def test_poll_at_the_answer_timeout_ends_the_flow_at_any_start_time(self) -> None:
         for start in (0.1, 56.133782192566436, 91.99245395243423):
             flow = stream()
             flow.start(start)
@@ -214,17 +214,17 @@
                 self.assertTrue(later is None or due is None or later > due)
 
     def test_mid_flow_segment_to_another_backend_breaks_the_flow(self) -> None:
-        right, wrong = make_backend("b1"), make_backend("b2")
-        network = Network(right, wrong)
+        owner, other = make_backend("b1"), make_backend("b2")
+        network = Network(owner, other)
         flow = stream()
         network.from_client(network.host.start(flow, 0.0))
         network.run(12.0)
         network.backend_index = 1
         network.run(20.0)
         self.assertEqual((flow.outcome, flow.truth.broken), (Outcome.RESET, True))
-        self.assertEqual(wrong.truth.unknown_segments, 1)
+        self.assertEqual(other.truth.unknown_segments, 1)
 
-    def test_silence_breaks_the_flow(self) -> None:
+    def test_unanswered_updates_break_the_flow(self) -> None:
         network = Network(make_backend())
         flow = stream()
         network.from_client(network.host.start(flow, 0.0))
@@ -233,7 +233,7 @@
         network.run(60.0)
         self.assertEqual((flow.outcome, flow.truth.broken), (Outcome.TIMED_OUT, True))
 
-    def test_drain_is_reported_and_cuts_nothing(self) -> None:
+    def test_drain_is_reported_and_ends_no_flow(self) -> None:
         backend = make_backend()
         network = Network(backend)
         flow = stream()
@@ -247,28 +247,28 @@
 
 
 class AnswerAssemblyTest(unittest.TestCase):
-    def test_only_the_whole_right_answer_of_one_backend_counts(self) -> None:
-        wanted = Request("r1", RequestKind.DOCUMENT, size=2_500)
-        parts = answer_parts(wanted, "b1")
-        others = answer_parts(replace(wanted, request_id="r2"), "b2")
-        assembly = AnswerAssembly("r1", 2_500)
-        self.assertEqual([assembly.add(part) for part in (parts[2], parts[0])], [False, False])
-        self.assertEqual([assembly.add(part) for part in others], [False, False, False])
-        taken = [assembly.add(part) for part in (parts[1], parts[1], parts[2], parts[0])]
-        self.assertEqual(taken, [False, False, False, True])
+    def test_only_a_complete_correct_answer_of_one_backend_is_accepted(self) -> None:
+        request_sent = Request("r1", RequestKind.DOCUMENT, size=2_500)
+        parts = answer_parts(request_sent, "b1")
+        others = answer_parts(replace(request_sent, request_id="r2"), "b2")
+        assembler = AnswerAssembler("r1", 2_500)
+        self.assertEqual([assembler.add(part) for part in (parts[2], parts[0])], [False, False])
+        self.assertEqual([assembler.add(part) for part in others], [False, False, False])
+        complete = [assembler.add(part) for part in (parts[1], parts[1], parts[2], parts[0])]
+        self.assertEqual(complete, [False, False, False, True])
 
 
 class DatagramTest(unittest.TestCase):
     def test_repeated_datagram_runs_once(self) -> None:
         backend = make_backend(service=UDP_SERVICE)
-        network = Network(backend, next_delays=ScriptedFate([(DELAY, 2 * DELAY), (), (), ()]))
+        network = Network(backend, next_delays=ScriptedDelays([(DELAY, 2 * DELAY), (), (), ()]))
         flow = udp_request(size=2_500)
         network.from_client(network.host.start(flow, 0.0))
         network.run(20.0)
         self.assertEqual(flow.outcome, Outcome.ANSWERED)
         self.assertEqual(len(backend.truth.runs["u1"]), 1)
 
-    def test_silence_is_not_a_refusal(self) -> None:
+    def test_unanswered_request_times_out(self) -> None:
         network = Network(make_backend(service=UDP_SERVICE), next_delays=lambda: ())
         flow = udp_request()
         network.from_client(network.host.start(flow, 0.0))
@@ -285,7 +285,7 @@
         self.assertEqual(len(backend.truth.tenancy_violations), 1)
         self.assertEqual(backend.truth.new_connections, [])
 
-    def test_reports_lag_freeze_and_lie(self) -> None:
+    def test_health_reports_lag_freeze_and_replace_the_load(self) -> None:
         backend = make_backend(options=SLOW)
         backend.health_reporter.faults = HealthFaults(lag=10.0)
         backend.poll(0.0)
@@ -298,7 +298,7 @@
         backend.health_reporter.faults = HealthFaults(frozen=True)
         self.assertEqual(backend.health(0.7).load, 0.1)
 
-    def test_cold_start_is_slower(self) -> None:
+    def test_requests_are_slower_during_a_cold_start(self) -> None:
         options = BackendOptions(
             cold_seconds=10.0, cold_factor=4.0, service_time=lambda request, chance: 0.1
         )
