--- a/src/beamloom/standins/flow_packets.py
+++ b/src/beamloom/standins/flow_packets.py
@@ -1,4 +1,4 @@
-"""The platform's packets as the two ends of a flow write and read them; for stand-ins and tools."""
+"""Encodes and decodes the platform's packets as the two endpoints of a flow do."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowEnd:
-    """Address (4 bytes) and port of one end of a flow."""
+    """Address (4 bytes) and port of one endpoint of a flow."""
 
     address: bytes
     port: int
@@ -31,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowPacket:
-    """One packet. `checksum` covers all but `echo`; a reset made on the way carries 0."""
+    """A packet of a flow; `checksum` covers every field but `echo`.
+
+    A reset written by a balancer instead of an endpoint has the checksum 0.
+    """
 
     source: FlowEnd
     destination: FlowEnd
@@ -44,20 +47,20 @@
 
     @property
     def is_intact(self) -> bool:
-        """Whether the packet is as its sender wrote it."""
+        """Whether `checksum` matches the packet."""
         return self.checksum == self.expected_checksum()
 
     def expected_checksum(self) -> int:
-        """Return the stand-ins' sum; the platform's own is keyed, and the key is not told."""
+        """Return a CRC-32 in place of the platform's checksum, whose key is not available."""
         return zlib.crc32(self._encode(echo=0, checksum=0)) or 1
 
     def encode(self, *, signed: bool = True) -> bytes:
-        """Return the datagram; unsigned ones carry `checksum` as it is."""
+        """Return the datagram, with the expected checksum or, unless `signed`, with `checksum`."""
         checksum = self.expected_checksum() if signed else self.checksum
         return self._encode(self.echo, checksum)
 
     def _encode(self, echo: int, checksum: int) -> bytes:
-        head = HEAD.pack(
+        header = HEAD.pack(
             self.destination.address,
             self.source.port,
             self.source.address,
@@ -70,10 +73,10 @@
             self.flags,
             bytes(3),
         )
-        return head + self.data
+        return header + self.data
 
     def describe(self) -> str:
-        """Return the packet as a person reads it."""
+        """Return a readable summary of the packet."""
         flags = "+".join(name for flag, name in _FLAG_NAMES if self.flags & flag) or "none"
         return (
             f"{self.source} > {self.destination} {flags} seq {self.sequence} "
@@ -82,7 +85,7 @@
 
 
 def decode_packet(datagram: bytes) -> FlowPacket | None:
-    """Read a datagram; None where it is shorter than it says."""
+    """Decode a datagram; None if its size is not the one stated in its header."""
     if len(datagram) < HEAD.size:
         return None
     (
@@ -114,7 +117,10 @@
 
 
 def decode_forwarded(datagram: bytes) -> tuple[int, FlowPacket] | None:
-    """Read a datagram to an endpoint: the identity that is meant, and the packet."""
+    """Decode a datagram sent to an endpoint into the endpoint's identity and the packet.
+
+    Returns None if the datagram is too short or the packet is malformed.
+    """
     if len(datagram) < IDENTITY.size:
         return None
     packet = decode_packet(datagram[IDENTITY.size :])
--- a/src/beamloom/standins/load.py
+++ b/src/beamloom/standins/load.py
@@ -1,4 +1,4 @@
-"""The load tool: thousands of flows a second from one process, and what became of them."""
+"""The load tool: opens flows at a fixed rate from one process and summarizes their outcomes."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from beamloom.standins.load_profiles import PROFILES, FlowSource, LoadProfile, ProfileName
 
 TICK_SECONDS = 0.01
-FLOWS_PER_TICK_LIMIT = 200
-LATE_SECONDS = 0.1
+MAXIMUM_FLOWS_PER_TICK = 200
+LATE_START_SECONDS = 0.1
 SAMPLE_SECONDS = 0.5
 MAXIMUM_LATENCY_MICROSECONDS = 3_600_000_000
 SIGNIFICANT_DIGITS = 3
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencySummary:
-    """Percentiles of seconds from the start of a request or update to its whole answer."""
+    """Percentiles of the seconds from a request flow's start, or from an update, to the answer."""
 
     count: int
     p50: float
@@ -37,10 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceImbalance:
-    """Maximum over mean across a service's endpoints; 1.0 is even, 0.0 means no flow was seen.
+    """Maximum over mean of the flows per endpoint of a service: 1.0 if even, 0.0 without flows.
 
-    `open_flows` is over established streams, the mean of samples in the second half of the run;
-    `flows` is over all flows that a backend answered.
+    `open_flows` is over the open streams that a backend has answered, averaged over the samples of
+    the second half of the run; `flows` is over all ended flows that a backend has answered.
     """
 
     open_flows: float
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What became of a load; `late_ticks` says how often the tool itself was behind."""
+    """Result of a load run; `late_ticks` counts the ticks at which the tool was behind schedule."""
 
     profile: str
     rate: float
@@ -68,12 +68,12 @@
     details: dict[str, int] = field(default_factory=dict)
 
     def to_json(self) -> dict[str, Any]:
-        """Return the result as JSON's own types."""
+        """Return the result as a JSON-compatible dictionary."""
         return asdict(self)
 
 
 class LoadRecorder:
-    """Collects what became of flows, by service and backend."""
+    """Counts the outcomes of flows, and their distribution over services and backends."""
 
     def __init__(self, profile: LoadProfile) -> None:
         self._profile = profile
@@ -90,13 +90,13 @@
         """The flows without an outcome."""
         return list(self._services)
 
-    def started(self, service: str, flow: ClientFlow) -> None:
-        """Note a new flow."""
+    def record_start(self, service: str, flow: ClientFlow) -> None:
+        """Record a new flow."""
         self._services[flow] = service
         self._totals["flows"] += 1
 
-    def ended(self, flow: ClientFlow) -> None:
-        """Note what became of a flow."""
+    def record_end(self, flow: ClientFlow) -> None:
+        """Record the outcome of a flow."""
         service = self._services.pop(flow)
         truth = flow.truth
         outcome = truth.outcome or Outcome.TIMED_OUT
@@ -112,18 +112,18 @@
             self._flows[service][truth.backends[0]] += 1
         self._record_latencies(flow)
 
-    def sample(self) -> None:
-        """Note how the open streams lie over each service's backends now."""
-        held = {name: Counter[str]() for name in self._profile.endpoints}
+    def sample_streams(self) -> None:
+        """Record how evenly each service's open streams are distributed over its backends now."""
+        streams_by_backend = {name: Counter[str]() for name in self._profile.endpoints}
         for flow, service in self._services.items():
             if isinstance(flow, StreamFlow) and flow.truth.backends:
-                held[service][flow.truth.backends[0]] += 1
-        for name, by_backend in held.items():
-            if by_backend:
-                self._samples[name].append(imbalance(by_backend, self._profile.endpoints[name]))
+                streams_by_backend[service][flow.truth.backends[0]] += 1
+        for name, counts in streams_by_backend.items():
+            if counts:
+                self._samples[name].append(imbalance(counts, self._profile.endpoints[name]))
 
     def result(self, rate: float, duration: float, late_ticks: int) -> LoadResult:
-        """Return everything noted."""
+        """Return the result of the run so far."""
         return LoadResult(
             profile=self._profile.name.value,
             rate=rate,
@@ -145,8 +145,8 @@
     def _record_latencies(self, flow: ClientFlow) -> None:
         truth = flow.truth
         latencies = list(truth.latencies)
-        one_shot = not isinstance(flow, StreamFlow) and truth.outcome is Outcome.ANSWERED
-        if one_shot and truth.latency is not None:
+        is_answered_request = not isinstance(flow, StreamFlow) and truth.outcome is Outcome.ANSWERED
+        if is_answered_request and truth.latency is not None:
             latencies.append(truth.latency)
         for seconds in latencies:
             self._latency.record_value(max(1, round(seconds * 1_000_000)))
@@ -162,15 +162,15 @@
 
     def _imbalance(self, name: str) -> ServiceImbalance:
         samples = self._samples[name]
-        settled = samples[len(samples) // 2 :]
-        mean = sum(settled) / len(settled) if settled else 0.0
+        second_half = samples[len(samples) // 2 :]
+        mean = sum(second_half) / len(second_half) if second_half else 0.0
         return ServiceImbalance(mean, imbalance(self._flows[name], self._profile.endpoints[name]))
 
 
-def imbalance(by_backend: Mapping[str, int], endpoints: int) -> float:
-    """Return the maximum over the mean, where endpoints without a flow count as zero."""
-    total = sum(by_backend.values())
-    return max(by_backend.values()) * endpoints / total if total else 0.0
+def imbalance(counts: Mapping[str, int], endpoints: int) -> float:
+    """Return the maximum over the mean; endpoints without a flow count as zero."""
+    total = sum(counts.values())
+    return max(counts.values()) * endpoints / total if total else 0.0
 
 
 async def run_load(
@@ -181,20 +181,22 @@
     fabric: SocketAddress,
     services: Mapping[str, VirtualAddress],
     seed: int = 1,
-    closing_time: float = 10.0,
+    close_timeout: float = 10.0,
     first_client: int = 0,
     progress: Callable[[int, int], None] | None = None,
 ) -> LoadResult:
-    """Open `rate` flows a second for `duration` s, close the streams, wait, and count.
+    """Open `rate` flows a second for `duration` seconds, then close the streams, and summarize.
 
-    `services` gives the virtual address of each service of the profile; `progress` is told how
-    many flows were started and how many are open. Flows that have not ended `closing_time` s after
-    the last start are counted as such. Raises ValueError when a service lacks its address.
+    `services` maps each service of the profile to its virtual address. `progress` is called with
+    the numbers of started and of open flows. Flows that have not ended `close_timeout` seconds
+    after the streams are closed count as `not_ended`. Raises ValueError if an address is missing.
     """
-    chosen = PROFILES[profile]
-    source = FlowSource(chosen, services, random.Random(seed), first_client=first_client)
-    recorder = LoadRecorder(chosen)
-    client = ClientProcess(fabric, recorder.ended)
+    load_profile = PROFILES[profile]
+    source = FlowSource(
+        load_profile, services, random.Random(seed), first_client_number=first_client
+    )
+    recorder = LoadRecorder(load_profile)
+    client = ClientProcess(fabric, recorder.record_end)
     await client.open()
     try:
         starter = _FlowStarter(client, source, recorder, progress)
@@ -202,14 +204,14 @@
         for flow in recorder.open_flows:
             if isinstance(flow, StreamFlow):
                 client.close_stream(flow)
-        await _wait_for_end(client, closing_time)
+        await _wait_until_closed(client, close_timeout)
         return recorder.result(rate, duration, late_ticks)
     finally:
         client.close()
 
 
 class _FlowStarter:
-    """Starts flows on schedule and samples what is open."""
+    """Starts flows on schedule and periodically samples the open streams."""
 
     def __init__(
         self,
@@ -225,17 +227,17 @@
         self._started = 0
 
     async def run(self, rate: float, duration: float) -> int:
-        """Start every flow; returns in how many ticks the tool was behind."""
+        """Start every flow; returns the number of ticks at which the tool was behind schedule."""
         loop = asyncio.get_running_loop()
-        begin = loop.time()
-        next_sample = begin + SAMPLE_SECONDS
+        start_time = loop.time()
+        next_sample = start_time + SAMPLE_SECONDS
         total = round(rate * duration)
         late_ticks = 0
         while self._started < total:
-            elapsed = loop.time() - begin
-            if elapsed - self._started / rate > LATE_SECONDS:
+            elapsed = loop.time() - start_time
+            if elapsed - self._started / rate > LATE_START_SECONDS:
                 late_ticks += 1
-            self._start_until(min(total, int(elapsed * rate) + 1))
+            self._start_due_flows(min(total, int(elapsed * rate) + 1))
             if loop.time() >= next_sample:
                 next_sample += SAMPLE_SECONDS
                 self._sample()
@@ -243,22 +245,22 @@
         self._sample()
         return late_ticks
 
-    def _start_until(self, due: int) -> None:
-        for _ in range(min(due - self._started, FLOWS_PER_TICK_LIMIT)):
+    def _start_due_flows(self, due_count: int) -> None:
+        for _ in range(min(due_count - self._started, MAXIMUM_FLOWS_PER_TICK)):
             service, flow = self._source.next_flow()
-            self._recorder.started(service, flow)
+            self._recorder.record_start(service, flow)
             self._client.start(flow)
             self._started += 1
 
     def _sample(self) -> None:
-        self._recorder.sample()
+        self._recorder.sample_streams()
         if self._progress is not None:
             self._progress(self._started, len(self._recorder.open_flows))
 
 
-async def _wait_for_end(client: ClientProcess, closing_time: float) -> None:
-    """Wait until every flow has ended and its connection is closed on both sides."""
+async def _wait_until_closed(client: ClientProcess, close_timeout: float) -> None:
+    """Wait until every flow and its connection have ended, or for `close_timeout` seconds."""
     loop = asyncio.get_running_loop()
-    limit = loop.time() + closing_time
-    while len(client.host) and loop.time() < limit:
+    deadline = loop.time() + close_timeout
+    while len(client.host) and loop.time() < deadline:
         await asyncio.sleep(TICK_SECONDS)
--- a/src/beamloom/standins/token_client.py
+++ b/src/beamloom/standins/token_client.py
@@ -1,7 +1,7 @@
-"""A client of the platform for trials, without I/O: one flow with several requests.
+"""A test client of the platform, without I/O: one flow with several requests.
 
-It sends copies of its opening packet after 0.2 and 0.6 s, gives the attempt up after 1.4 s, echoes
-the last token that it got, and repeats what is not answered. Times are in seconds.
+It resends its opening packet after 0.2 and 0.6 s, abandons the attempt after 1.4 s, echoes the last
+token that it received, and resends unanswered requests with exponential backoff.
 """
 
 from __future__ import annotations
@@ -12,164 +12,182 @@
 from beamloom.platform.packet_layout import FLAG_ACK, FLAG_FIN, FLAG_RST, FLAG_SYN
 from beamloom.standins.flow_packets import FlowEnd, FlowPacket
 
-COPY_SECONDS = (0.2, 0.6)
-OPENING_SECONDS = 1.4
-FIRST_REPEAT_SECONDS = 0.2
-LONGEST_REPEAT_SECONDS = 1.6
+OPENING_RETRY_SECONDS = (0.2, 0.6)
+OPENING_TIMEOUT_SECONDS = 1.4
+INITIAL_RETRY_SECONDS = 0.2
+MAXIMUM_RETRY_SECONDS = 1.6
 
 
 class FlowState(Enum):
-    """How far a flow is."""
+    """State of a flow; REFUSED is a reset during the opening, RESET a later one."""
 
     OPENING = "opening"
     WAITING = "waiting"
-    RESTING = "resting"
+    PAUSED = "paused"
     DONE = "done"
     REFUSED = "refused"
     RESET = "reset"
     UNANSWERED = "unanswered"
 
 
-ENDED = frozenset({FlowState.DONE, FlowState.REFUSED, FlowState.RESET, FlowState.UNANSWERED})
+END_STATES = frozenset({FlowState.DONE, FlowState.REFUSED, FlowState.RESET, FlowState.UNANSWERED})
 
 
 @dataclass(frozen=True, slots=True)
 class FlowPlan:
-    """What a client does: so many requests, `rest_seconds` between them, each with a deadline."""
+    """The requests of a flow, each with a deadline, and the pause `rest_seconds` between them."""
 
     requests: int = 3
     rest_seconds: float = 1.0
-    answer_bytes: int = 2000
+    answer_size: int = 2000
     deadline_seconds: float = 4.0
 
 
 class TokenClientFlow:
-    """One flow of one client. `answers` holds for each request the endpoint that answered it."""
+    """One flow of a client.
+
+    `answers` lists the endpoint that answered each request. `mixed` describes packets with a wrong
+    checksum or source, except resets, and answers to other requests.
+    """
 
     def __init__(self, source: FlowEnd, service: FlowEnd, plan: FlowPlan, now: float) -> None:
         self.source = source
         self.service = service
         self.state = FlowState.OPENING
-        self.began_at = now
+        self.started_at = now
         self.opened_at: float | None = None
         self.answers: list[str] = []
         self.mixed: list[str] = []
         self._plan = plan
         self._sequence = (source.port * 7919) & 0xFFFFFF
-        self._expected = 0
-        self._echo = 0
-        self._copies = 0
+        self._expected_sequence = 0
+        self._token = 0
+        self._opening_packets_sent = 0
         self._body = b""
-        self._repeat_at = now
-        self._repeats = 0
-        self._deadline = now + OPENING_SECONDS
-        self._rest_until = 0.0
+        self._retry_at = now
+        self._retries = 0
+        self._deadline = now + OPENING_TIMEOUT_SECONDS
+        self._paused_until = 0.0
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will be sent."""
-        return self.state in ENDED
+        """Whether the flow is done, refused, reset or unanswered."""
+        return self.state in END_STATES
 
     def advance(self, now: float) -> list[FlowPacket]:
-        """Return what is to be sent now."""
+        """Return the packets that are due."""
         if self.state is FlowState.OPENING:
             return self._advance_opening(now)
-        if self.state is FlowState.RESTING and now >= self._rest_until:
-            return self._ask(now)
+        if self.state is FlowState.PAUSED and now >= self._paused_until:
+            return self._send_request(now)
         if self.state is FlowState.WAITING:
             return self._advance_waiting(now)
         return []
 
     def handle(self, packet: FlowPacket, now: float) -> list[FlowPacket]:
-        """Take a packet; return what is to be sent at once."""
+        """Process a packet and return the packets to send in response."""
         if self.ended:
             return []
         if packet.flags & FLAG_RST:
-            return self._take_reset(packet)
+            return self._handle_reset(packet)
         if not packet.is_intact or packet.source != self.service:
-            self.mixed.append("a packet that is not as its sender wrote it")
+            self.mixed.append("a packet with a wrong checksum or source")
             return []
-        self._echo = packet.echo
+        self._token = packet.echo
         if packet.flags & FLAG_SYN:
-            return self._take_opening(packet, now)
+            return self._handle_opening_answer(packet, now)
         if not packet.data:
             return []
-        return self._take_data(packet, now)
+        return self._handle_data(packet, now)
 
     def _advance_opening(self, now: float) -> list[FlowPacket]:
         if now >= self._deadline:
             self.state = FlowState.UNANSWERED
             return []
-        if now < self._repeat_at:
+        if now < self._retry_at:
             return []
         packet = FlowPacket(
-            self.source, self.service, FLAG_SYN, self._sequence, acknowledged=self._copies
+            self.source,
+            self.service,
+            FLAG_SYN,
+            self._sequence,
+            acknowledged=self._opening_packets_sent,
+        )
+        retry_offset = (
+            OPENING_RETRY_SECONDS[self._opening_packets_sent]
+            if self._opening_packets_sent < len(OPENING_RETRY_SECONDS)
+            else OPENING_TIMEOUT_SECONDS
         )
-        after = COPY_SECONDS[self._copies] if self._copies < len(COPY_SECONDS) else OPENING_SECONDS
-        self._repeat_at = self.began_at + after
-        self._copies += 1
+        self._retry_at = self.started_at + retry_offset
+        self._opening_packets_sent += 1
         return [packet]
 
-    def _take_opening(self, packet: FlowPacket, now: float) -> list[FlowPacket]:
+    def _handle_opening_answer(self, packet: FlowPacket, now: float) -> list[FlowPacket]:
         if self.state is not FlowState.OPENING:
             return []
         self._sequence += 1
-        self._expected = packet.sequence
+        self._expected_sequence = packet.sequence
         self.opened_at = now
-        return self._ask(now)
+        return self._send_request(now)
 
-    def _ask(self, now: float) -> list[FlowPacket]:
+    def _send_request(self, now: float) -> list[FlowPacket]:
         self.state = FlowState.WAITING
         self._body = b""
-        self._repeats = 0
-        self._repeat_at = now + FIRST_REPEAT_SECONDS
+        self._retries = 0
+        self._retry_at = now + INITIAL_RETRY_SECONDS
         self._deadline = now + self._plan.deadline_seconds
         return [self._request_packet()]
 
     def _request_packet(self) -> FlowPacket:
-        data = f"GET {self._request_name()} {self._plan.answer_bytes} ".encode()
+        data = f"GET {self._request_id()} {self._plan.answer_size} ".encode()
         return self._packet(FLAG_ACK, data)
 
-    def _request_name(self) -> str:
+    def _request_id(self) -> str:
         return f"{self.source}/{len(self.answers)}"
 
     def _advance_waiting(self, now: float) -> list[FlowPacket]:
         if now >= self._deadline:
             self.state = FlowState.UNANSWERED
             return [self._packet(FLAG_FIN)]
-        if now < self._repeat_at:
+        if now < self._retry_at:
             return []
-        self._repeats += 1
-        pause = min(LONGEST_REPEAT_SECONDS, FIRST_REPEAT_SECONDS * 2**self._repeats)
-        self._repeat_at = now + pause
+        self._retries += 1
+        delay = min(MAXIMUM_RETRY_SECONDS, INITIAL_RETRY_SECONDS * 2**self._retries)
+        self._retry_at = now + delay
         return [self._request_packet()]
 
-    def _take_data(self, packet: FlowPacket, now: float) -> list[FlowPacket]:
-        if packet.sequence == self._expected and self.state is FlowState.WAITING:
-            self._expected += len(packet.data)
+    def _handle_data(self, packet: FlowPacket, now: float) -> list[FlowPacket]:
+        if packet.sequence == self._expected_sequence and self.state is FlowState.WAITING:
+            self._expected_sequence += len(packet.data)
             self._body += packet.data
-            if len(self._body) >= self._plan.answer_bytes:
+            if len(self._body) >= self._plan.answer_size:
                 self._finish_request(now)
         return [self._packet(FLAG_FIN if self.ended else FLAG_ACK)]
 
     def _finish_request(self, now: float) -> None:
-        words = self._body.split(None, 2)
-        if words[0].decode() != self._request_name():
-            self.mixed.append(f"{words[0].decode()} answers {self._request_name()}")
+        fields = self._body.split(None, 2)
+        if fields[0].decode() != self._request_id():
+            self.mixed.append(f"answer to {fields[0].decode()} received for {self._request_id()}")
         self._sequence += len(self._request_packet().data)
-        self.answers.append(words[1].decode())
+        self.answers.append(fields[1].decode())
         if len(self.answers) >= self._plan.requests:
             self.state = FlowState.DONE
             return
-        self.state = FlowState.RESTING
-        self._rest_until = now + self._plan.rest_seconds
+        self.state = FlowState.PAUSED
+        self._paused_until = now + self._plan.rest_seconds
 
-    def _take_reset(self, packet: FlowPacket) -> list[FlowPacket]:
-        opening = self.state is FlowState.OPENING
-        self.state = FlowState.REFUSED if opening else FlowState.RESET
+    def _handle_reset(self, packet: FlowPacket) -> list[FlowPacket]:
+        is_opening = self.state is FlowState.OPENING
+        self.state = FlowState.REFUSED if is_opening else FlowState.RESET
         return []
 
     def _packet(self, flags: int, data: bytes = b"") -> FlowPacket:
         return FlowPacket(
-            self.source, self.service, flags, self._sequence, self._expected, self._echo, data
+            self.source,
+            self.service,
+            flags,
+            self._sequence,
+            self._expected_sequence,
+            self._token,
+            data,
         )
