--- a/tests/unit/test_standins.py
+++ b/tests/unit/test_standins.py
@@ -32,7 +32,7 @@
     make_backend,
 )
 
-SLOW = BackendOptions(slots=1, queue_limit=1, service_time=lambda request, chance: 1.0)
+SLOW = BackendOptions(slots=1, queue_limit=1, service_time=lambda request, rng: 1.0)
 
 
 def request(
@@ -300,7 +300,7 @@
 
     def test_requests_are_slower_during_a_cold_start(self) -> None:
         options = BackendOptions(
-            cold_seconds=10.0, cold_factor=4.0, service_time=lambda request, chance: 0.1
+            cold_seconds=10.0, cold_factor=4.0, service_time=lambda request, rng: 0.1
         )
         backend = make_backend(options=options)
         network = Network(backend)
