--- a/src/beamloom/simulation/tokens/__init__.py
+++ b/src/beamloom/simulation/tokens/__init__.py
@@ -1,5 +1,5 @@
 """Simulation of token nodes: clients and endpoints echo tokens, endpoints answer clients directly.
 
-The cores are those that run on sockets; store, routers, network and both ends of flows are models
-on the virtual clock. `oracle` judges by what clients, endpoints and operators see.
+The nodes run the production core; the store, routers, network, clients and endpoints are models on
+the virtual clock. `oracle` checks what clients and endpoints observe.
 """
--- a/src/beamloom/simulation/tokens/changes.py
+++ b/src/beamloom/simulation/tokens/changes.py
@@ -1,4 +1,4 @@
-"""What befalls endpoints and routes, drawn by chance: the same in the simulation and the soak."""
+"""Random changes of endpoints and routes, shared by the simulation and the soak."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from beamloom.routing.tokens.records import BackendRecord
 from beamloom.simulation.tokens.deployment import SERVICES, ZONES, Routes
 
-FEWEST_LEFT = 2
+MINIMUM_REMAINING_ENDPOINTS = 2
 EVACUATION_SECONDS = 8.0
-"""Longer than a zone may take to be rid of new flows, so that a late one is seen."""
+"""Longer than the bound for evacuations, so that a new flow after it is detected."""
 EndpointType = TypeVar("EndpointType")
 RecordedEndpoint = TypeVar("RecordedEndpoint", bound="HasRecord")
 
@@ -28,31 +28,31 @@
     routes: dict[bytes, frozenset[str]]
 
     def running_endpoints(self, service: str) -> list[EndpointType]:
-        """Return those of a service that run and do not leave."""
+        """Return the endpoints of a service that run and are not draining."""
 
     def add_endpoint(self, service: str) -> object:
         """Start an endpoint."""
 
     def drain_endpoint(self, endpoint: EndpointType) -> None:
-        """Let an endpoint leave: it says so, serves on for a while, and ends."""
+        """Announce an endpoint as draining and stop it some time later."""
 
     def crash_endpoint(self, endpoint: EndpointType) -> None:
-        """Let an endpoint die without a word."""
+        """Stop an endpoint without announcing it."""
 
     def reuse_address(self, endpoint: EndpointType, service: str) -> None:
-        """Let an endpoint leave and its address pass to another service."""
+        """Drain an endpoint and later start one of another service at its address."""
 
     def set_routes(self, routes: Routes) -> None:
-        """Write a configuration."""
+        """Write a configuration with these routes."""
 
     def evacuate_zone(self, zone: str, seconds: float) -> None:
-        """Ask that a zone gets no new flows, and take it back after a while."""
+        """Evacuate a zone for `seconds`: it must get no new flows."""
 
 
 def zones_of(
     deployment: ChangeableDeployment[RecordedEndpoint], destination: bytes
 ) -> frozenset[str]:
-    """Return the zones of the endpoints that a destination's new flows may get."""
+    """Return the zones of the running endpoints to which a destination is routed."""
     return frozenset(
         endpoint.record.zone
         for service in deployment.routes.get(destination, ())
@@ -61,38 +61,34 @@
 
 
 class DeploymentChanges(Generic[EndpointType]):
-    """The changes by name."""
+    """Random changes of a deployment; `kinds` maps their names to functions that make one."""
 
-    def __init__(
-        self, deployment: ChangeableDeployment[EndpointType], chance: random.Random
-    ) -> None:
+    def __init__(self, deployment: ChangeableDeployment[EndpointType], rng: random.Random) -> None:
         self._deployment = deployment
-        self._chance = chance
+        self._rng = rng
         self.kinds: dict[str, Callable[[], None]] = {
-            "drain": lambda: self._replace(deployment.drain_endpoint),
-            "crash": lambda: self._replace(deployment.crash_endpoint),
-            "reuse": self._reuse,
+            "drain": lambda: self._replace_endpoint(deployment.drain_endpoint),
+            "crash": lambda: self._replace_endpoint(deployment.crash_endpoint),
+            "reuse": self._reuse_address,
             "route": self._change_routes,
             "evacuate": lambda: deployment.evacuate_zone(
-                self._chance.choice(ZONES), EVACUATION_SECONDS
+                self._rng.choice(ZONES), EVACUATION_SECONDS
             ),
         }
 
-    def _replace(self, end: Callable[[EndpointType], None]) -> None:
-        service = self._chance.choice(SERVICES)
+    def _replace_endpoint(self, stop_endpoint: Callable[[EndpointType], None]) -> None:
+        service = self._rng.choice(SERVICES)
         running = self._deployment.running_endpoints(service)
         if not running:
             return
         self._deployment.add_endpoint(service)
-        end(self._chance.choice(running))
+        stop_endpoint(self._rng.choice(running))
 
-    def _reuse(self) -> None:
+    def _reuse_address(self) -> None:
         running = self._deployment.running_endpoints(SERVICES[0])
-        if len(running) > FEWEST_LEFT:
-            self._deployment.reuse_address(self._chance.choice(running), SERVICES[1])
+        if len(running) > MINIMUM_REMAINING_ENDPOINTS:
+            self._deployment.reuse_address(self._rng.choice(running), SERVICES[1])
 
     def _change_routes(self) -> None:
         keys = self._deployment.routes
-        self._deployment.set_routes(
-            {key: frozenset({self._chance.choice(SERVICES)}) for key in keys}
-        )
+        self._deployment.set_routes({key: frozenset({self._rng.choice(SERVICES)}) for key in keys})
--- a/src/beamloom/simulation/tokens/client_side.py
+++ b/src/beamloom/simulation/tokens/client_side.py
@@ -13,22 +13,22 @@
 if TYPE_CHECKING:
     from beamloom.simulation.tokens.fleet import TokenFleet
 
-NETWORK_SECONDS = 0.0015
-"""One way between any two machines, about what the smallest deployments have."""
-READINESS_SECONDS = 0.5
-"""Routers ask each node this often (the users' platform)."""
-MISSES_OUT = 2
-"""A node that has missed so many of these is sent nothing (the users' platform)."""
+ONE_WAY_DELAY_SECONDS = 0.0015
+"""One-way network delay of packets and of messages between nodes."""
+READINESS_INTERVAL_SECONDS = 0.5
+"""Interval at which routers check the readiness of each node."""
+UNREADY_THRESHOLD = 2
+"""Routers skip a node that failed this many checks in a row, unless all nodes did."""
 FIRST_CLIENT_PORT = 1024
 CLIENT_HOSTS = 200
-"""Flows come from so many addresses in turn."""
+"""Number of client addresses, used in turn."""
 
 
 class ClientSide:
     """The flows of clients; `flows` are open or opening, `finished` have ended.
 
-    A packet gets lost with the probability `loss`. `steady` routers move only the flows of a node
-    that comes or goes.
+    `loss` is the probability that a packet is lost. `steady` routers use rendezvous hashing, which
+    moves only the flows of an added or removed node; others take a hash modulo the node count.
     """
 
     def __init__(self, fleet: TokenFleet, *, loss: float, steady: bool) -> None:
@@ -41,22 +41,22 @@
         self._next_port = FIRST_CLIENT_PORT
 
     @property
-    def known_nodes(self) -> int:
-        """How many nodes routers have ever heard of."""
+    def registered_count(self) -> int:
+        """Number of nodes that were ever registered."""
         return len(self._misses)
 
     def poll_readiness(self) -> None:
-        """Let routers ask each node whether it is ready, now and from now on."""
+        """Check the readiness of each node, now and at every interval."""
         for name, node in self._fleet.nodes.items():
             self._misses[name] = 0 if node.ready else self._misses[name] + 1
-        self._fleet.clock.call_later(READINESS_SECONDS, self.poll_readiness)
+        self._fleet.clock.call_later(READINESS_INTERVAL_SECONDS, self.poll_readiness)
 
-    def expect_node(self, name: str) -> None:
-        """Let routers ask a node that is about to start."""
-        self._misses[name] = MISSES_OUT
+    def register_node(self, name: str) -> None:
+        """Register a node that is about to start; it counts as not ready."""
+        self._misses[name] = UNREADY_THRESHOLD
 
     def open_flow(self, service: int, plan: FlowPlan) -> TokenClientFlow:
-        """Let a client open a flow to one of the addresses."""
+        """Open a flow from a client to the address of the service with this number."""
         self._next_port += 1
         address = bytes((100, 64, 0, self._next_port % CLIENT_HOSTS + 1))
         source = FlowEnd(address, self._next_port)
@@ -65,58 +65,63 @@
         return flow
 
     def advance(self, now: float) -> None:
-        """Let clients send what is due; set flows that have ended apart."""
+        """Send the packets that are due, and move ended flows to `finished`."""
         for source, flow in list(self.flows.items()):
             self._send(flow.advance(now))
             if flow.ended:
                 self.finished.append(self.flows.pop(source))
 
     def receive(self, data: bytes, node: str | None) -> None:
-        """Hand a packet to its client; `node` is set where a node wrote it, not a backend."""
+        """Deliver a packet to its client; `node` is its sender, None if an endpoint sent it."""
         packet = decode_packet(data)
         assert packet is not None
         flow = self.flows.get(packet.destination)
         if flow is None or flow.ended:
             return
         if node is not None:
-            self._judge_reset(flow, node)
+            self._check_reset(flow, node)
         now, oracle = self._fleet.clock.now, self._fleet.oracle
         first = flow.answers[0] if flow.answers else None
         count = len(flow.answers)
         replies = flow.handle(packet, now)
         if len(flow.answers) > count:
-            oracle.judge_answer(first, flow.answers[-1], str(flow.source), now)
-        for text in flow.mixed:
-            oracle.report("mixed", now, text)
+            oracle.check_answer(first, flow.answers[-1], str(flow.source), now)
+        for flow_name in flow.mixed:
+            oracle.report("mixed", now, flow_name)
         self._send(replies)
 
     def loses_packet(self) -> bool:
-        """Draw whether the next packet gets lost."""
-        return self._loss > 0.0 and self._fleet.chance.random() < self._loss
+        """Draw whether the next packet is lost."""
+        return self._loss > 0.0 and self._fleet.rng.random() < self._loss
 
-    def _judge_reset(self, flow: TokenClientFlow, node: str) -> None:
+    def _check_reset(self, flow: TokenClientFlow, node: str) -> None:
         fleet = self._fleet
         if flow.state is not FlowState.OPENING:
-            if any(held.alive and held.model.holds(flow.source) for held in fleet.every_endpoint):
+            if any(
+                endpoint.alive and endpoint.model.holds(flow.source)
+                for endpoint in fleet.all_endpoints
+            ):
                 fleet.oracle.report("flow", fleet.clock.now, f"{node} reset {flow.source}")
             return
         destination = key_of(flow.service)
-        fleet.oracle.judge_refusal(node, destination, fleet.clock.now, zones_of(fleet, destination))
+        fleet.oracle.check_refusal(node, destination, fleet.clock.now, zones_of(fleet, destination))
 
     def _send(self, packets: list[FlowPacket]) -> None:
         for packet in packets:
             node = self._pick_node(packet.source)
             if node is not None and not self.loses_packet():
-                self._fleet.clock.call_later(NETWORK_SECONDS, node.take_datagram, packet.encode())
+                self._fleet.clock.call_later(
+                    ONE_WAY_DELAY_SECONDS, node.receive_datagram, packet.encode()
+                )
 
     def _pick_node(self, source: FlowEnd) -> SimulatedTokenNode | None:
         nodes = self._fleet.nodes
-        names = sorted(name for name in nodes if self._misses[name] < MISSES_OUT)
+        names = sorted(name for name in nodes if self._misses[name] < UNREADY_THRESHOLD)
         if not names:
             names = sorted(nodes)
         if not names:
             return None
-        text = str(source)
+        flow_name = str(source)
         if self._steady:
-            return nodes[max(names, key=lambda name: stable_hash(f"{text}|{name}"))]
-        return nodes[names[stable_hash(text) % len(names)]]
+            return nodes[max(names, key=lambda name: stable_hash(f"{flow_name}|{name}"))]
+        return nodes[names[stable_hash(flow_name) % len(names)]]
--- a/src/beamloom/simulation/tokens/deployment.py
+++ b/src/beamloom/simulation/tokens/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that the simulation and the soak share: addresses, routes, endpoints' records."""
+"""Addresses, routes and endpoint records of the deployment in the simulation and the soak."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def key_of(end: FlowEnd) -> bytes:
-    """Return the destination key of a service's end."""
+    """Return the destination key of an address and port."""
     return destination_key(end.address, end.port)
 
 
@@ -39,15 +39,15 @@
     return key_of(service_end(number))
 
 
-def first_routes() -> Routes:
-    """Return the routes that a run begins with: a service for each address."""
+def initial_routes() -> Routes:
+    """Return the routes at the start of a run: one service for each address."""
     return {destination(1): frozenset({SERVICES[0]}), destination(2): frozenset({SERVICES[1]})}
 
 
 def configuration_of(
     version: int, routes: Routes, warm_ups: tuple[ServiceWarmUp, ...] = ()
 ) -> RoutingConfiguration:
-    """Return a version of the configuration; a route's services have equal weights."""
+    """Return a configuration in which the services of a route have equal weights."""
     records = tuple(
         RouteRecord(f"r-{key.hex()}", key, tuple(RoutePart(name, 1.0) for name in sorted(services)))
         for key, services in routes.items()
@@ -56,7 +56,7 @@
 
 
 def endpoint_record(identity: int, service: str, address: tuple[str, int]) -> BackendRecord:
-    """Return the record of an endpoint that is ready."""
+    """Return the record of a ready endpoint; its zone depends on its identity."""
     return BackendRecord(
         name=f"i-{identity:08x}",
         identity=identity,
@@ -70,5 +70,5 @@
 
 
 def stable_hash(text: str) -> int:
-    """Return the same number for the same text in every run."""
+    """Return a hash that is the same in every process, unlike `hash`."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
--- a/src/beamloom/simulation/tokens/node.py
+++ b/src/beamloom/simulation/tokens/node.py
@@ -1,4 +1,4 @@
-"""A simulated token node: the core, its reads of the store, and its ticks, on the virtual clock."""
+"""A simulated token node: a core with calls to the store and ticks on the virtual clock."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 Forward = Callable[[bytes, tuple[str, int]], None]
 SendMessage = Callable[[str, str, Message], None]
 CheckBackend = Callable[[str, tuple[str, int], Callable[[CheckOutcome], None]], None]
-"""Checks an address for the node at a host, and calls back with the outcome."""
+"""Checks an address on behalf of the node at a host; the callback receives the outcome."""
 
 
 class _Reader:
-    """The reads of one kind: one call at a time, each with a deadline."""
+    """Calls to the store for one kind of object: one at a time, each with a timeout."""
 
     def __init__(
         self,
@@ -48,77 +48,82 @@
         kind: str,
         watch: ObjectWatch[Any],
         turn: ReadingTurn,
-        take: Callable[[tuple[ObjectChange[Any], ...], float], None],
+        apply_changes: Callable[[tuple[ObjectChange[Any], ...], float], None],
     ) -> None:
         self._node = node
         self._kind = kind
         self._watch = watch
         self._turn = turn
-        self._take = take
-        self._call = 0
+        self._apply_changes = apply_changes
+        self._call_number = 0
         self._busy = False
 
     def advance(self) -> None:
-        """Ask where it is this node's turn."""
+        """Call the store if a call is due and none is pending."""
         if not self._busy and self._turn.must_ask(self._node.clock.now):
-            self._ask()
+            self._call_store()
 
-    def _ask(self) -> None:
+    def _call_store(self) -> None:
         self._busy = True
-        self._call += 1
-        call, asked_at = self._call, self._node.clock.now
+        self._call_number += 1
+        call_number, asked_at = self._call_number, self._node.clock.now
         request = self._watch.next_request()
         self._node.observer.counters[f"call_{self._kind}_{self._turn.purpose.value}"] += 1
         wait = 0.0 if isinstance(request, ListRequest) else self._turn.wait_seconds
 
-        def take_answer(answer: StoreAnswer) -> None:
-            if call == self._call:
-                self._call += 1
-                self._node.when_running(lambda: self._take_answer(answer, asked_at))
+        def on_answer(answer: StoreAnswer) -> None:
+            if call_number == self._call_number:
+                self._call_number += 1
+                self._node.call_when_running(lambda: self._handle_answer(answer, asked_at))
 
-        def give_up() -> None:
-            take_answer(StoreAnswer())
+        def on_timeout() -> None:
+            on_answer(StoreAnswer())
 
-        self._node.link.call(self._node.host, self._kind, request, wait, take_answer)
-        self._node.clock.call_later(wait + CALL_PATIENCE_SECONDS, give_up)
+        self._node.link.call_number(self._node.host, self._kind, request, wait, on_answer)
+        self._node.clock.call_later(wait + CALL_PATIENCE_SECONDS, on_timeout)
 
-    def _take_answer(self, answer: StoreAnswer, asked_at: float) -> None:
+    def _handle_answer(self, answer: StoreAnswer, asked_at: float) -> None:
         now = self._node.clock.now
         if answer.history_gone:
             self._watch.take_lost_history()
-            self._rest()
+            self._finish_call()
             return
         try:
-            changes = self._read(answer, asked_at)
+            changes = self._apply_answer(answer, asked_at)
         except OlderAnswerError:
             changes = None
         if changes is None:
-            self._node.clock.call_later(self._turn.note_failure(now), self._rest)
+            self._node.clock.call_later(self._turn.note_failure(now), self._finish_call)
             return
-        rest = self._turn.note_answer(now, changes=bool(changes))
-        self._take(changes, now)
+        pause_seconds = self._turn.note_answer(now, changes=bool(changes))
+        self._apply_changes(changes, now)
         self._node.send_messages()
-        self._node.clock.call_later(rest, self._rest)
-
-    def _read(self, answer: StoreAnswer, asked_at: float) -> tuple[ObjectChange[Any], ...] | None:
-        """Return what an answer changes; None where it is not usable."""
-        tells_era = self._node.link.tells_era
-        if not tells_era:
+        self._node.clock.call_later(pause_seconds, self._finish_call)
+
+    def _apply_answer(
+        self, answer: StoreAnswer, asked_at: float
+    ) -> tuple[ObjectChange[Any], ...] | None:
+        """Apply an answer to the watch; return the changes, None if the answer is unusable."""
+        reports_era = self._node.link.reports_era
+        if not reports_era:
             answer = answer.in_era(era_of(self._watch.view.revision or 0))
         if answer.page is not None:
-            return self._watch.take_page(answer.page, asked_at, tells_era=tells_era)
+            return self._watch.take_page(answer.page, asked_at, tells_era=reports_era)
         if answer.batch is not None:
             now = self._node.clock.now
-            return self._watch.take_changes(answer.batch, now, tells_era=tells_era)
+            return self._watch.take_changes(answer.batch, now, tells_era=reports_era)
         return None
 
-    def _rest(self) -> None:
+    def _finish_call(self) -> None:
         self._busy = False
-        self._node.when_running(self.advance)
+        self._node.call_when_running(self.advance)
 
 
 class SimulatedTokenNode:
-    """One start of a node. Packets that arrive while it is frozen wait; a killed one is dead."""
+    """One process of a node; a restart creates another object.
+
+    While it is frozen, packets, messages and answers are deferred.
+    """
 
     def __init__(
         self,
@@ -128,7 +133,7 @@
         clock: VirtualClock,
         link: StoreLink,
         *,
-        chance: random.Random,
+        rng: random.Random,
         seeds: tuple[str, ...],
         secret: bytes,
         forward: Forward,
@@ -145,24 +150,24 @@
         self.alive = True
         self.stopping = False
         self.observer = QuietObserver()
-        reader_id = f"{chance.getrandbits(32):08x}"
+        reader_id = f"{rng.getrandbits(32):08x}"
         self.core = TokenCore(
             zone,
             reader_id,
             CONFIGURATION_NAME,
             self.observer,
-            chance=chance,
+            chance=rng,
             times=reading_times(),
             evacuation_times=evacuation_reading_times(EVACUATE_SECONDS),
             mechanisms=mechanisms,
             is_seed=host in seeds,
         )
         self._frozen_until = 0.0
-        self._waiting: list[Callable[[], None]] = []
+        self._deferred: list[Callable[[], None]] = []
         self._forward = forward
         self._send_message = send_message
         self._check_backend = check_backend
-        self._judges = False
+        self._deadline_scheduled = False
         self.core.checks.begin = self._begin_check
         core = self.core
         self._readers = [
@@ -195,47 +200,47 @@
 
     @property
     def frozen(self) -> bool:
-        """Whether the process stands still."""
+        """Whether the process is frozen."""
         return self.clock.now < self._frozen_until
 
     @property
     def ready(self) -> bool:
-        """What its readiness address answers."""
+        """Whether a readiness check of the node succeeds."""
         return self.alive and not self.frozen and not self.stopping and self.core.complete
 
     def kill(self) -> None:
-        """End it without a word."""
+        """End the process without a planned stop."""
         self.alive = False
 
     def freeze(self, seconds: float) -> None:
-        """Let the process stand still."""
+        """Freeze the process for `seconds`."""
         self._frozen_until = self.clock.now + seconds
-        self.clock.call_later(seconds, self._wake)
+        self.clock.call_later(seconds, self._resume)
 
-    def when_running(self, act: Callable[[], None]) -> None:
-        """Do something now, or once the process runs again; never, where it is dead."""
+    def call_when_running(self, callback: Callable[[], None]) -> None:
+        """Call back now, or at the end of a freeze; discard the call if the process has ended."""
         if not self.alive:
             return
         if self.frozen:
-            self._waiting.append(act)
+            self._deferred.append(callback)
         else:
-            act()
+            callback()
 
-    def take_datagram(self, datagram: bytes) -> None:
-        """Take a client's packet."""
-        self.when_running(lambda: self._handle_packet(datagram))
+    def receive_datagram(self, datagram: bytes) -> None:
+        """Receive a client's packet."""
+        self.call_when_running(lambda: self._handle_packet(datagram))
 
-    def take_message(self, host: str, message: Message) -> None:
-        """Take a message of another node."""
+    def receive_message(self, host: str, message: Message) -> None:
+        """Receive a message from another node."""
 
         def handle() -> None:
             self.core.handle_message(host, message, self.clock.now)
             self.send_messages()
 
-        self.when_running(handle)
+        self.call_when_running(handle)
 
     def send_messages(self) -> None:
-        """Send what the core wants to tell its peers."""
+        """Send the pending messages of the core to its peers."""
         for send in self.core.take_sends():
             self._send_message(self.host, send.host, send.message)
 
@@ -252,34 +257,36 @@
             self._forward(
                 packet_layout.encode_reset(command), (packet_layout.client_host(command.flow), 0)
             )
-        self._judge_later()
+        self._schedule_next_deadline()
 
-    def _judge_later(self) -> None:
-        """Let the router judge what waits as soon as its time is over, as the node does."""
+    def _schedule_next_deadline(self) -> None:
+        """Advance the router at its next deadline, as the real node does between ticks."""
         due = self.core.router.flows.next_judgement()
-        if due is None or self._judges:
+        if due is None or self._deadline_scheduled:
             return
-        self._judges = True
-        self.clock.call_later(max(0.0, due - self.clock.now), self.when_running, self._judge)
+        self._deadline_scheduled = True
+        self.clock.call_later(
+            max(0.0, due - self.clock.now), self.call_when_running, self._handle_deadline
+        )
 
-    def _judge(self) -> None:
-        self._judges = False
+    def _handle_deadline(self) -> None:
+        self._deadline_scheduled = False
         self.core.router.advance(self.clock.now)
-        self._judge_later()
+        self._schedule_next_deadline()
 
     def _begin_check(self, backend: Backend) -> None:
-        def take(outcome: CheckOutcome) -> None:
-            self.when_running(lambda: self._take_check(backend, outcome))
+        def on_outcome(outcome: CheckOutcome) -> None:
+            self.call_when_running(lambda: self._apply_check_outcome(backend, outcome))
 
-        self._check_backend(self.host, backend.record.address, take)
+        self._check_backend(self.host, backend.record.address, on_outcome)
 
-    def _take_check(self, backend: Backend, outcome: CheckOutcome) -> None:
+    def _apply_check_outcome(self, backend: Backend, outcome: CheckOutcome) -> None:
         self.core.checks.take(backend, outcome, self.clock.now)
         self.send_resets()
         self.send_messages()
 
     def send_resets(self) -> None:
-        """Send the resets of flows that have ended without a packet of theirs."""
+        """Send resets for flows that the router ended on its own, not in reply to a packet."""
         resets = self.core.router.resets
         while resets:
             command = resets.popleft()
@@ -298,7 +305,7 @@
         self.send_resets()
         self.send_messages()
 
-    def _wake(self) -> None:
-        waiting, self._waiting = self._waiting, []
-        for act in waiting:
-            self.when_running(act)
+    def _resume(self) -> None:
+        deferred, self._deferred = self._deferred, []
+        for callback in deferred:
+            self.call_when_running(callback)
--- a/src/beamloom/simulation/tokens/store_link.py
+++ b/src/beamloom/simulation/tokens/store_link.py
@@ -1,4 +1,4 @@
-"""The store as simulated nodes reach it: delays, watches that wait, and its faults."""
+"""Access of simulated nodes to the store: latency, waiting watches and faults."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 NamedType = TypeVar("NamedType", NamedRecord[object], ObjectChange[object])
 
-CALL_SECONDS = 0.004
-POLL_SECONDS = 0.005
-"""How often a waiting watch looks for changes; real ones are told at once."""
+CALL_LATENCY_SECONDS = 0.004
+POLL_INTERVAL_SECONDS = 0.005
+"""Interval at which a waiting watch looks for changes; the real store answers at once."""
 
 
 class StoreFault(Enum):
-    """What the store does to callers."""
+    """A fault of the store that affects all calls."""
 
     NONE = "none"
     REFUSES = "refuses"
@@ -35,27 +35,27 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreAnswer:
-    """What came of a call: a page, a batch, a lost history, or nothing usable."""
+    """The result of a call: a page, a batch of changes, a lost history, or none if it failed."""
 
     page: ListPage[object] | None = None
     batch: ChangeBatch[object] | None = None
     history_gone: bool = False
 
     def in_era(self, era: int) -> StoreAnswer:
-        """Return an answer that told no era as one of an era that its caller knows."""
+        """Return the answer with its revisions in `era`, for a store that reports no era."""
         page, batch = self.page, self.batch
         if page is not None:
-            records = tuple(_moved(named, era) for named in page.records)
+            records = tuple(_with_era(named, era) for named in page.records)
             revision = revision_in_era(era, page.revision)
             return StoreAnswer(page._replace(records=records, revision=revision))
         if batch is not None:
-            changes = tuple(_moved(change, era) for change in batch.changes)
+            changes = tuple(_with_era(change, era) for change in batch.changes)
             revision = revision_in_era(era, batch.revision)
             return StoreAnswer(batch=batch._replace(changes=changes, revision=revision))
         return self
 
 
-def _moved(named: NamedType, era: int) -> NamedType:
+def _with_era(named: NamedType, era: int) -> NamedType:
     return named._replace(revision=revision_in_era(era, named.revision))
 
 
@@ -63,23 +63,23 @@
 
 
 class StoreLink:
-    """Calls of all nodes. `cut` hosts hear nothing; `refused` ones are turned away at once.
+    """Calls of all nodes; those of `partitioned_hosts` are dropped, of `refused_hosts` refused.
 
-    Without `tells_era` answers do not tell the store's era, and are of the one that callers know.
+    Without `reports_era`, revisions in answers have an unknown era.
     """
 
     def __init__(self, clock: VirtualClock, store: TokenStore) -> None:
         self.fault = StoreFault.NONE
-        self.cut: set[str] = set()
-        self.refused: set[str] = set()
-        self.tells_era = True
-        self.call_seconds = CALL_SECONDS
+        self.partitioned_hosts: set[str] = set()
+        self.refused_hosts: set[str] = set()
+        self.reports_era = True
+        self.call_latency_seconds = CALL_LATENCY_SECONDS
         self.calls = 0
         self.disturbed_until = 0.0
         self._clock = clock
         self._store = store
 
-    def call(
+    def call_number(
         self,
         host: str,
         kind: str,
@@ -87,18 +87,20 @@
         wait: float,
         on_answer: OnAnswer,
     ) -> None:
-        """Make a call; `on_answer` is called later, or never where the call is swallowed."""
+        """Make a call; `on_answer` is called later, or never if the call is dropped."""
         self.calls += 1
-        if self._swallows(host):
+        if self._drops_call(host):
             return
-        if self.fault is StoreFault.REFUSES or host in self.refused:
-            self._clock.call_later(self.call_seconds, on_answer, StoreAnswer())
+        if self.fault is StoreFault.REFUSES or host in self.refused_hosts:
+            self._clock.call_later(self.call_latency_seconds, on_answer, StoreAnswer())
             return
         end = self._clock.now + wait
-        self._clock.call_later(self.call_seconds, self._answer, host, kind, request, end, on_answer)
+        self._clock.call_later(
+            self.call_latency_seconds, self._answer, host, kind, request, end, on_answer
+        )
 
-    def _swallows(self, host: str) -> bool:
-        return self.fault is StoreFault.SILENT or host in self.cut
+    def _drops_call(self, host: str) -> bool:
+        return self.fault is StoreFault.SILENT or host in self.partitioned_hosts
 
     def _answer(
         self,
@@ -108,7 +110,7 @@
         end: float,
         on_answer: OnAnswer,
     ) -> None:
-        if self._swallows(host):
+        if self._drops_call(host):
             return
         if isinstance(request, ListRequest):
             on_answer(StoreAnswer(page=self._page(kind, request)))
@@ -121,7 +123,9 @@
         if batch.changes or self._clock.now >= end:
             on_answer(StoreAnswer(batch=batch))
             return
-        self._clock.call_later(POLL_SECONDS, self._answer, host, kind, request, end, on_answer)
+        self._clock.call_later(
+            POLL_INTERVAL_SECONDS, self._answer, host, kind, request, end, on_answer
+        )
 
     def _page(self, kind: str, request: ListRequest) -> ListPage[object]:
         if request.stale:
@@ -148,4 +152,4 @@
         return ChangeBatch(changes, self._revision(self._store.revision))
 
     def _revision(self, number: int) -> int:
-        return revision_in_era(self._store.era if self.tells_era else UNKNOWN_ERA, number)
+        return revision_in_era(self._store.era if self.reports_era else UNKNOWN_ERA, number)
--- a/src/beamloom/simulation/tokens/store_restores.py
+++ b/src/beamloom/simulation/tokens/store_restores.py
@@ -1,7 +1,7 @@
-"""A store that comes back from an older copy of itself, and its writers, who then write again.
+"""Restores the store from an older copy of itself, and repeats its writers' writes afterwards.
 
-Only then does it lose what it has acknowledged. Operators and endpoints notice and repeat what they
-wrote; what an endpoint wrote that has ended since stays until its heartbeats are missed.
+Only a restore loses acknowledged writes. Operators and endpoints then write their current state
+again; the entry of an endpoint that has ended is removed after its heartbeat timeout.
 """
 
 from __future__ import annotations
@@ -13,83 +13,89 @@
 
 from beamloom.standins.token_store import StoreCopy, TokenStore
 
-COPY_PERIOD_SECONDS = 0.5
-COPIES_KEPT = 24
-OLDEST_COPY_SECONDS = 8.0
-LONGEST_AWAY_SECONDS = 3.0
-OPERATOR_SECONDS = 1.0
-ENDPOINT_SECONDS = 2.0
-"""By then each has written again (the users' platform says so of endpoints)."""
-HEARTBEATS_SECONDS = 3.6
-"""Three heartbeats: what nobody repeats for so long goes."""
+COPY_INTERVAL_SECONDS = 0.5
+MAXIMUM_COPIES = 24
+MAXIMUM_COPY_AGE_SECONDS = 8.0
+MAXIMUM_OUTAGE_SECONDS = 3.0
+OPERATOR_REWRITE_SECONDS = 1.0
+ENDPOINT_REWRITE_SECONDS = 2.0
+"""Maximum delay until operators and endpoints have written again after a restore."""
+HEARTBEAT_TIMEOUT_SECONDS = 3.6
+"""Three heartbeat intervals; an entry without a heartbeat for this long is removed."""
 
 
 class TakenCopy(NamedTuple):
-    """A copy of the store, and when it was taken."""
+    """A copy of the store and the time at which it was taken."""
 
     at: float
     copy: StoreCopy
 
 
 class Writer(NamedTuple):
-    """One who wrote to the store: writes again what holds now, within so many seconds."""
+    """Brings one part of the store up to date after a restore, with a random delay in seconds."""
 
     write: Callable[[], object]
-    longest_seconds: float
-    shortest_seconds: float = 0.0
+    maximum_delay: float
+    minimum_delay: float = 0.0
 
 
 class RestorableDeployment(Protocol):
-    """What a deployment does for a restore of its store."""
+    """A deployment whose store can be restored."""
 
     def suspend_store(self, seconds: float) -> None:
-        """Let the store answer nobody for a while."""
+        """Make the store unavailable for `seconds`."""
 
     def writers(self) -> Iterable[Writer]:
-        """Return who writes again once the store is back."""
+        """Return the writers that correct the store after a restore."""
 
 
 class StoreRestores:
-    """Restores of one store; `later` does something after so many seconds."""
+    """Restores of one store, of which copies are taken at intervals.
+
+    `call_later` calls a function after some seconds.
+    """
 
     def __init__(
         self,
         store: TokenStore,
         deployment: RestorableDeployment,
-        chance: random.Random,
+        rng: random.Random,
         now: Callable[[], float],
-        later: Callable[[float, Callable[[], object]], object],
+        call_later: Callable[[float, Callable[[], object]], object],
     ) -> None:
         self._store = store
         self._deployment = deployment
-        self._chance = chance
+        self._rng = rng
         self._now = now
-        self._later = later
-        self._copies: deque[TakenCopy] = deque(maxlen=COPIES_KEPT)
+        self._call_later = call_later
+        self._copies: deque[TakenCopy] = deque(maxlen=MAXIMUM_COPIES)
         self._take_copy()
 
-    def strike(self) -> None:
-        """Restore the store by chance: after how long away, and from how old a copy."""
-        away = self._chance.uniform(0.0, LONGEST_AWAY_SECONDS)
-        self.restore(away, self._chance.uniform(0.0, OLDEST_COPY_SECONDS))
+    def restore_at_random(self) -> None:
+        """Restore the store after a random outage, from a copy of random age."""
+        outage_seconds = self._rng.uniform(0.0, MAXIMUM_OUTAGE_SECONDS)
+        self.restore(outage_seconds, self._rng.uniform(0.0, MAXIMUM_COPY_AGE_SECONDS))
+
+    def restore(self, outage_seconds: float, copy_age_seconds: float) -> None:
+        """Make the store unavailable, then restore it from the newest copy of at least this age.
 
-    def restore(self, away_seconds: float, age_seconds: float) -> None:
-        """Let the store be away and come back from a copy so old when it went."""
-        wanted = self._now() - age_seconds
-        copies = [taken.copy for taken in self._copies if taken.at <= wanted]
+        The age counts at the beginning of the outage. If no copy is old enough, the oldest is used.
+        """
+        latest = self._now() - copy_age_seconds
+        copies = [taken.copy for taken in self._copies if taken.at <= latest]
         copy = copies[-1] if copies else self._copies[0].copy
-        self._deployment.suspend_store(away_seconds)
-        self._later(away_seconds, lambda: self._come_back(copy))
+        self._deployment.suspend_store(outage_seconds)
+        self._call_later(outage_seconds, lambda: self._complete_restore(copy))
 
     def _take_copy(self) -> None:
         self._copies.append(TakenCopy(self._now(), self._store.copy()))
-        self._later(COPY_PERIOD_SECONDS, self._take_copy)
+        self._call_later(COPY_INTERVAL_SECONDS, self._take_copy)
 
-    def _come_back(self, copy: StoreCopy) -> None:
+    def _complete_restore(self, copy: StoreCopy) -> None:
         if copy.revision > self._store.revision:
-            # Another restore has gone further back; this copy is of what is lost.
+            # Another restore went back further: the revisions of this copy no longer exist.
             copy = self._store.copy()
         self._store.restore(copy)
         for writer in self._deployment.writers():
-            seconds = self._chance.uniform(writer.shortest_seconds, writer.longest_seconds)
-            self._later(seconds, writer.write)
+            seconds = self._rng.uniform(writer.minimum_delay, writer.maximum_delay)
+            self._call_later(seconds, writer.write)
--- a/src/beamloom/soak/endpoint.py
+++ b/src/beamloom/soak/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint of a soak, on sockets of its own."""
+"""An endpoint of a soak, with sockets of its own."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 class SoakEndpoint:
-    """An endpoint on a socket; `alive` False means that its process is gone.
+    """An endpoint on a socket; `alive` is False once it has ended.
 
-    `listener` takes connections that ask whether it is there, and serves none. One that has
-    `started_anew` is followed by another of its name.
+    `listener` accepts and closes the connections by which nodes check the endpoint. `restarted` is
+    True if another endpoint replaces this one under the same name.
     """
 
     def __init__(self, model: TokenEndpoint, record: BackendRecord) -> None:
         self.model = model
         self.record = record
         self.alive = True
-        self.started_anew = False
+        self.restarted = False
         self.socket = bind_datagrams(Endpoint(record.host, record.port))
         self.listener = Listener(record.host, record.port)
 
-    def end(self) -> None:
-        """Let the process be gone."""
+    def stop(self) -> None:
+        """End the endpoint as if its process had ended."""
         self.alive = False
         self.close()
 
     def close(self) -> None:
-        """Leave the address."""
+        """Close the sockets."""
         self.socket.close()
         self.listener.close()
--- a/src/beamloom/soak/faults.py
+++ b/src/beamloom/soak/faults.py
@@ -1,4 +1,4 @@
-"""What befalls a soak: faults and planned changes, drawn by chance from its seed."""
+"""Random faults and planned changes of a soak, drawn from its seed."""
 
 from __future__ import annotations
 
@@ -16,158 +16,159 @@
 from beamloom.soak.proxy import ProxyFault
 from beamloom.standins.token_client import FlowPlan
 
-SHARE_OF_CHANGES = 0.4
-MOST_IN_A_SERIES = 3
+CHANGE_FRACTION = 0.4
+MAXIMUM_SERIES_FAULTS = 3
 SERIES_SECONDS = 3.0
-"""Faults of a series strike within it, so that what each of them undoes overlaps with the next."""
+"""The faults of a series start within this time, so that they and their ends overlap."""
 CHANGES = ("drain", "reuse", "route", "evacuate")
-"""Planned changes, which nodes must follow in time; they disturb nobody."""
-LONGEST_UNNOTICED_SECONDS = 1.0
-"""A change within it meets nodes that do not know yet that their connections are silent."""
-TURNED_AWAY_SECONDS = 8.0
-"""Longer than the bounds of changes, so that nodes that are served must do without the others."""
-ROLL_GAP_SECONDS = 0.7
-RUSH_FLOWS = 160
-RUSH_GAP_SECONDS = 0.02
-"""With the flows of the soak itself, 70 a second: each cold endpoint of a service would get more
-than its limit, were they shared alike.
-"""
+"""Planned changes, which nodes must apply in time; the oracle's time bounds apply during them."""
+MAXIMUM_UNDETECTED_SECONDS = 1.0
+"""Within this time, nodes may not yet have detected that their connections are silent."""
+HOST_FAULT_SECONDS = 8.0
+"""Longer than the bounds of changes, so that the other nodes must apply them meanwhile."""
+ROLL_INTERVAL_SECONDS = 0.7
+BURST_FLOWS = 160
+BURST_INTERVAL_SECONDS = 0.02
+"""A burst adds at most 50 flows per second to those of the soak itself, at most 20."""
 
 
 class UnknownFaultError(ValueError):
-    """There is no fault of a name."""
+    """A fault name is unknown."""
 
     def __init__(self, names: Iterable[str], known: Iterable[str]) -> None:
-        asked, there = ", ".join(sorted(names)), ", ".join(sorted(known))
-        super().__init__(f"no such fault: {asked}; name some of {there}")
+        unknown_names, known_names = ", ".join(sorted(names)), ", ".join(sorted(known))
+        super().__init__(f"no such fault: {unknown_names}; choose from {known_names}")
 
 
 class SoakFaults:
-    """The faults by name; each acts on a harness."""
+    """Injects faults into a harness; `injected` lists them with their times.
+
+    `inject` draws planned changes and faults of `kinds`, by default all but those of the platform.
+    """
 
     def __init__(
         self,
         harness: SoakHarness,
-        chance: random.Random,
+        rng: random.Random,
         kinds: Collection[str] = (),
         *,
         seed: int = 0,
     ) -> None:
-        self.struck: list[str] = []
+        self.injected: list[str] = []
         self._harness = harness
-        self._chance = chance
-        self.began_at = harness.now
-        way = self._disturb_way
-        store = harness.platform.disturb_store
+        self._rng = rng
+        self.started_at = harness.now
+        proxy_fault = self._inject_proxy_fault
+        store_fault = harness.platform.inject_store_fault
         self._kinds: dict[str, Callable[[], None]] = {
-            "kill": lambda: harness.kill(self._node()),
+            "kill": lambda: harness.kill(self._pick_node()),
             "kill_all": self._kill_all,
-            "stop": lambda: harness.stop(self._node()),
-            "pause": lambda: harness.pause(self._node(), 4.0),
-            "reload": lambda: harness.nodes[self._node()].send(signal.SIGHUP),
-            "way_refused": lambda: way(ProxyFault.REFUSE),
-            "way_cut": lambda: way(ProxyFault.CUT),
-            "way_cut_answers": lambda: way(ProxyFault.CUT_ANSWERS),
-            "way_delayed": lambda: way(ProxyFault.DELAY),
-            "way_reset": self._reset_way,
-            "store_unavailable": lambda: store("unavailable", True, 4.0),
-            "store_silent": lambda: store("silent", True, 4.0),
-            "store_throttled": lambda: store("throttled", True, 3.0),
-            "store_slow": lambda: store("delay_seconds", 0.3, 4.0),
+            "stop": lambda: harness.stop(self._pick_node()),
+            "pause": lambda: harness.pause(self._pick_node(), 4.0),
+            "reload": lambda: harness.nodes[self._pick_node()].send(signal.SIGHUP),
+            "way_refused": lambda: proxy_fault(ProxyFault.REFUSE),
+            "way_cut": lambda: proxy_fault(ProxyFault.CUT),
+            "way_cut_answers": lambda: proxy_fault(ProxyFault.CUT_ANSWERS),
+            "way_delayed": lambda: proxy_fault(ProxyFault.DELAY),
+            "way_reset": self._reset_connections,
+            "store_unavailable": lambda: store_fault("unavailable", True, 4.0),
+            "store_silent": lambda: store_fault("silent", True, 4.0),
+            "store_throttled": lambda: store_fault("throttled", True, 3.0),
+            "store_slow": lambda: store_fault("delay_seconds", 0.3, 4.0),
             "compaction": harness.platform.server.store.forget_history,
-            "silence": lambda: self._silence([self._node()]),
+            "silence": lambda: self._silence([self._pick_node()]),
             "silence_all": lambda: self._silence(harness.nodes),
-            "some_refused": lambda: self._turn_away("refused_hosts"),
-            "some_throttled": lambda: self._turn_away("throttled_hosts"),
-            "some_unanswered": lambda: self._turn_away("silent_hosts"),
+            "some_refused": lambda: self._inject_host_fault("refused_hosts"),
+            "some_throttled": lambda: self._inject_host_fault("throttled_hosts"),
+            "some_unanswered": lambda: self._inject_host_fault("silent_hosts"),
             "large_refused": self._refuse_large,
             "roll": lambda: harness.spawn(self._roll()),
             "release": self._release,
-            **DeploymentChanges(harness.platform, chance).kinds,
+            **DeploymentChanges(harness.platform, rng).kinds,
         }
-        self._later_chance = random.Random(seed + 1)
+        self._platform_rng = random.Random(seed + 1)
         platform_faults = PlatformFaults(
-            harness.platform, self._later_chance, lambda: harness.now, harness.later
+            harness.platform, self._platform_rng, lambda: harness.now, harness.call_later
         )
-        self._of_platform = platform_faults.kinds.keys()
-        self._next_of_platform: list[str] = []
-        drawn = sorted(kinds or self._kinds)
+        self._platform_kinds = platform_faults.kinds.keys()
+        self._pending_platform_kinds: list[str] = []
+        selectable = sorted(kinds or self._kinds)
         self._kinds |= platform_faults.kinds
         unknown = set(kinds) - self._kinds.keys()
         if unknown:
             raise UnknownFaultError(unknown, self._kinds)
-        self._drawn = drawn
+        self._selectable_kinds = selectable
 
-    def strike(self) -> None:
-        """Let one fault strike now."""
-        names = CHANGES if self._chance.random() < SHARE_OF_CHANGES else self._drawn
-        self._strike(self._chance.choice(names))
+    def inject(self) -> None:
+        """Inject one random fault or planned change now."""
+        names = CHANGES if self._rng.random() < CHANGE_FRACTION else self._selectable_kinds
+        self._inject(self._rng.choice(names))
 
-    def strike_platform(self) -> None:
-        """Let one of the platform's own faults strike, and a series of others around it.
+    def inject_platform_fault(self) -> None:
+        """Inject one fault of the platform, and a random series of other faults after it.
 
-        Each of them strikes once before any strikes again.
-        They are drawn from a chance of their own: each seed plays the others as it always did.
+        Each platform fault is injected once before any is repeated. A separate generator draws the
+        names and times of all these faults.
         """
-        chance = self._later_chance
-        if not self._next_of_platform:
-            names = sorted(self._of_platform)
-            self._next_of_platform = chance.sample(names, len(names))
-        self._strike(self._next_of_platform.pop())
-        for _ in range(chance.randint(0, MOST_IN_A_SERIES)):
-            name = chance.choice(self._drawn)
-            self._harness.later(chance.uniform(0.0, SERIES_SECONDS), partial(self._strike, name))
-
-    def _strike(self, name: str) -> None:
-        self.struck.append(f"{self._harness.now - self.began_at:.1f} {name}")
+        rng = self._platform_rng
+        if not self._pending_platform_kinds:
+            names = sorted(self._platform_kinds)
+            self._pending_platform_kinds = rng.sample(names, len(names))
+        self._inject(self._pending_platform_kinds.pop())
+        for _ in range(rng.randint(0, MAXIMUM_SERIES_FAULTS)):
+            name = rng.choice(self._selectable_kinds)
+            self._harness.call_later(rng.uniform(0.0, SERIES_SECONDS), partial(self._inject, name))
+
+    def _inject(self, name: str) -> None:
+        self.injected.append(f"{self._harness.now - self.started_at:.1f} {name}")
         self._kinds[name]()
 
-    def _node(self) -> str:
-        return self._chance.choice(sorted(self._harness.nodes))
+    def _pick_node(self) -> str:
+        return self._rng.choice(sorted(self._harness.nodes))
 
     def _kill_all(self) -> None:
         for name in self._harness.nodes:
             self._harness.kill(name)
 
-    def _disturb_way(self, fault: ProxyFault) -> None:
-        self._harness.disturb_way(self._node(), fault, 4.0)
+    def _inject_proxy_fault(self, fault: ProxyFault) -> None:
+        self._harness.inject_proxy_fault(self._pick_node(), fault, 4.0)
 
-    def _reset_way(self) -> None:
-        name = self._node()
-        self._harness.note_disturbed(name, 0.0)
+    def _reset_connections(self) -> None:
+        name = self._pick_node()
+        self._harness.note_fault(name, 0.0)
         self._harness.proxies[name].reset_connections()
 
     def _silence(self, names: Iterable[str]) -> None:
-        """Silence connections, and change something while nobody may have noticed yet."""
+        """Silence connections, and make a change while nodes may not have detected it yet."""
         for name in names:
             self._harness.silence(name)
-        change = self._chance.choice(CHANGES)
-        wait = self._chance.uniform(0.0, LONGEST_UNNOTICED_SECONDS)
-        self._harness.later(wait, lambda: self._strike(change))
+        change = self._rng.choice(CHANGES)
+        wait = self._rng.uniform(0.0, MAXIMUM_UNDETECTED_SECONDS)
+        self._harness.call_later(wait, lambda: self._inject(change))
 
-    def _some(self) -> list[str]:
+    def _sample_nodes(self) -> list[str]:
         names = sorted(self._harness.nodes)
-        return self._chance.sample(names, max(1, len(names) // 2))
+        return self._rng.sample(names, max(1, len(names) // 2))
 
-    def _turn_away(self, fault: str) -> None:
-        self._harness.turn_away(self._some(), fault, TURNED_AWAY_SECONDS)
+    def _inject_host_fault(self, fault: str) -> None:
+        self._harness.inject_host_fault(self._sample_nodes(), fault, HOST_FAULT_SECONDS)
 
     def _refuse_large(self) -> None:
-        """Let the store refuse those that would rather be its readers than the others."""
+        """Let the store refuse the large nodes, which are preferred as its readers."""
         names = [name for name in self._harness.nodes if is_large(name)]
-        self._harness.turn_away(names, "refused_hosts", TURNED_AWAY_SECONDS)
+        self._harness.inject_host_fault(names, "refused_hosts", HOST_FAULT_SECONDS)
 
     async def _roll(self) -> None:
-        for name in self._some():
+        for name in self._sample_nodes():
             self._harness.stop(name)
-            await asyncio.sleep(ROLL_GAP_SECONDS)
+            await asyncio.sleep(ROLL_INTERVAL_SECONDS)
 
     def _release(self) -> None:
-        """Leave a service with cold endpoints only, while many clients come."""
-        self._harness.platform.release(self._chance.choice(SERVICES))
-        self._harness.spawn(self._rush())
+        """Replace all endpoints of a service by cold ones during a burst of flows."""
+        self._harness.platform.release(self._rng.choice(SERVICES))
+        self._harness.spawn(self._open_burst())
 
-    async def _rush(self) -> None:
-        for _ in range(RUSH_FLOWS):
+    async def _open_burst(self) -> None:
+        for _ in range(BURST_FLOWS):
             self._harness.open_flow(FlowPlan(requests=1))
-            await asyncio.sleep(RUSH_GAP_SECONDS)
+            await asyncio.sleep(BURST_INTERVAL_SECONDS)
--- a/src/beamloom/soak/nodes.py
+++ b/src/beamloom/soak/nodes.py
@@ -16,22 +16,22 @@
 from beamloom.settings.token_node import Endpoint, TokenNodeSettings
 from beamloom.simulation.tokens.deployment import ZONES
 from beamloom.simulation.tokens.oracle import EVACUATE_SECONDS
-from beamloom.soak.cold_openings import LIMITS
+from beamloom.soak.cold_openings import COLD_START_LIMITS
 from beamloom.soak.program import NodeProgram
 from beamloom.units import MILLISECONDS
 
-READINESS_SECONDS = 0.4
+READINESS_TIMEOUT_SECONDS = 0.4
 PACKETS_PORT = 19172
 READINESS_PORT = 19167
 PEER_PORT = 19720
 STOP_SECONDS = 6.0
 SMALL_MACHINE = Capacity(cores=0.12, link_megabits=5.0, memory_megabytes=152, descriptors=2870)
 LARGE_MACHINE = Capacity(cores=2.0, link_megabits=200.0, memory_megabytes=552, descriptors=8192)
-"""As told to the nodes: the smallest and largest machines that are deployed."""
+"""Capacities in the nodes' settings: the smallest and largest machines that are deployed."""
 
 
 def is_large(name: str) -> bool:
-    """Whether a node is told that its machine can do much; about half of them are."""
+    """Whether a node is configured as a large machine; every second one is."""
     return int(name.rpartition("-")[2]) % 2 == 0
 
 
@@ -52,12 +52,12 @@
         evacuate_seconds=EVACUATE_SECONDS,
         zones=ZONES,
         capacity=LARGE_MACHINE if is_large(name) else SMALL_MACHINE,
-        cold_starts=LIMITS,
+        cold_starts=COLD_START_LIMITS,
     )
 
 
 class NodeProcess:
-    """One node's process; its log is kept in the soak's folder over all of its starts."""
+    """The process of one node; all of its starts append to one log in the soak's folder."""
 
     def __init__(self, settings: TokenNodeSettings, folder: Path, program: NodeProgram) -> None:
         self.name = settings.node
@@ -66,32 +66,32 @@
         self.starts = 0
         self.last_signal = "none"
         self._readiness = settings.readiness
-        self._settings = folder / f"{settings.node}.toml"
+        self._settings_path = folder / f"{settings.node}.toml"
         self._log_path = folder / f"{settings.node}.log"
         self._program = program
         self._process: subprocess.Popen[bytes] | None = None
         self._started_at = 0.0
-        self._settings.write_text(encode_settings(settings), encoding="utf-8")
+        self._settings_path.write_text(encode_settings(settings), encoding="utf-8")
 
     @property
     def running(self) -> bool:
-        """Whether there is a process."""
+        """Whether the process runs."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def exit_status(self) -> int | None:
-        """How the last process ended; None while it runs."""
+        """Exit status of the last process; None while it runs or before the first start."""
         return None if self._process is None else self._process.poll()
 
     def start(self) -> None:
-        """Start the process, unless it runs."""
+        """Start the process unless it is running."""
         if self.running:
             return
         self.starts += 1
         with self._log_path.open("ab") as log:
             self._process = subprocess.Popen(
                 self._program.command,
-                env={**self._program.environment, SETTINGS_VARIABLE: str(self._settings)},
+                env={**self._program.environment, SETTINGS_VARIABLE: str(self._settings_path)},
                 stdout=log,
                 stderr=subprocess.STDOUT,
             )
@@ -99,18 +99,18 @@
         self.last_signal = "none"
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self.running:
             age = MILLISECONDS * (time.monotonic() - self._started_at)
             self.last_signal = f"{number.name} {age:.0f} ms after its start"
             self._process.send_signal(number)
 
-    def holds(self, number: signal.Signals) -> bool:
-        """Whether the process can take a signal, as from its first own line on."""
+    def handles_signal(self, number: signal.Signals) -> bool:
+        """Whether the process blocks a signal or has a handler for it."""
         return self._process is not None and self.running and holds(self._process.pid, number)
 
     def end(self) -> None:
-        """End the process for good."""
+        """Kill the process and wait for its end."""
         if self._process is None:
             return
         self.send(signal.SIGCONT)
@@ -118,10 +118,10 @@
         self._process.wait()
 
     def is_ready(self) -> bool:
-        """Ask its readiness address, as the platform's routers do; blocks for a moment."""
+        """Request the readiness URL, as the platform's routers do; blocks meanwhile."""
         url = f"http://{self._readiness.text}{READINESS_PATH}"
         try:
-            with urllib.request.urlopen(url, timeout=READINESS_SECONDS) as answer:
+            with urllib.request.urlopen(url, timeout=READINESS_TIMEOUT_SECONDS) as answer:
                 return bool(answer.status == 200)
         except (urllib.error.URLError, OSError):
             return False
--- a/src/beamloom/soak/program.py
+++ b/src/beamloom/soak/program.py
@@ -1,4 +1,4 @@
-"""The program of a soak's nodes, installed and started as deploy/build.sh and system.toml say."""
+"""Installs the program of a soak's nodes as deploy/build.sh and deploy/system.toml do."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 class NodeProgram(NamedTuple):
-    """How a node is started."""
+    """The command and environment that start a node."""
 
     command: tuple[str, ...]
     environment: Mapping[str, str]
 
 
 def install_program(folder: Path) -> NodeProgram:
-    """Install the sources and the bundle of a start below a folder.
+    """Install the sources and the start bundle below a folder.
 
-    Libraries are taken from where this process finds them. Raises OSError or CalledProcessError.
+    Libraries are imported from this process's `sys.path`. Raises OSError or CalledProcessError.
     """
     installed = folder / "installed"
     shutil.copytree(Path(beamloom.__file__).parent, installed / "beamloom", dirs_exist_ok=True)
-    found = os.pathsep.join([str(installed), *filter(None, sys.path)])
-    environment = {**os.environ, "PYTHONPATH": found}
+    module_path = os.pathsep.join([str(installed), *filter(None, sys.path)])
+    environment = {**os.environ, "PYTHONPATH": module_path}
     python = (sys.executable, "-S")
     bundle = str(installed / BUNDLE)
     write = (*python, "-m", "beamloom.runtime.bundle_writer", bundle)
--- a/src/beamloom/soak/proxy.py
+++ b/src/beamloom/soak/proxy.py
@@ -7,26 +7,26 @@
 from enum import Enum
 
 CHUNK_BYTES = 65_536
-LONGEST_END_SECONDS = 0.5
-"""For how long an end is waited for: all connections have been reset by then."""
+CLOSE_TIMEOUT_SECONDS = 0.5
+"""How long `close` waits for the forwarding tasks, whose connections it has reset."""
 
 
 class ProxyFault(Enum):
-    """What befalls the connections of a node."""
+    """A fault of a node's connections."""
 
     NONE = "none"
     REFUSE = "refuse"
-    """New connections are closed at once, old ones are reset."""
+    """New connections are reset at once; the harness resets the open ones."""
     CUT = "cut"
-    """Nothing passes in either direction, and nobody is told."""
+    """Data is dropped in both directions, without a reset."""
     CUT_ANSWERS = "cut_answers"
-    """Calls pass, answers do not."""
+    """Requests pass, answers are dropped."""
     DELAY = "delay"
-    """Answers come late."""
+    """Answers are delayed."""
 
 
 class _Connection:
-    """Both ends of one forwarded connection; a `silent` one passes nothing any more."""
+    """Both ends of one forwarded connection; data on a `silent` one is dropped."""
 
     def __init__(self, node: asyncio.StreamWriter, store: asyncio.StreamWriter) -> None:
         self.silent = False
@@ -39,10 +39,10 @@
 
 
 class StoreProxy:
-    """Forwards connections to the store; `fault` applies to old and new ones.
+    """Forwards connections to the store; `fault` applies to open and new ones.
 
-    The store sees them come from the address that the node calls, so that it may treat each node
-    in its own way.
+    Their source address at the store is the one that the node connects to, one for each node, so
+    that the store can apply faults to some nodes only.
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
@@ -53,7 +53,7 @@
         self._server: asyncio.Server | None = None
         self.host = ""
         self._connections: set[_Connection] = set()
-        self._serving: set[asyncio.Task[None]] = set()
+        self._serving_tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, host: str) -> None:
         """Listen on a free port; raises OSError."""
@@ -66,24 +66,24 @@
         if self._server is not None:
             self._server.close()
         self.reset_connections()
-        if self._serving:
-            await asyncio.wait(self._serving, timeout=LONGEST_END_SECONDS)
+        if self._serving_tasks:
+            await asyncio.wait(self._serving_tasks, timeout=CLOSE_TIMEOUT_SECONDS)
 
     def reset_connections(self) -> None:
-        """Reset every connection there is."""
+        """Reset all open connections."""
         for connection in list(self._connections):
             connection.abort()
 
     def silence_connections(self) -> None:
-        """Let the connections of this moment be silent for good, both ways, without a reset."""
+        """Drop all further data of the open connections, in both directions, without a reset."""
         for connection in self._connections:
             connection.silent = True
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._serving.add(task)
-        task.add_done_callback(self._serving.discard)
+        self._serving_tasks.add(task)
+        task.add_done_callback(self._serving_tasks.discard)
         await self._forward(reader, writer)
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -122,12 +122,12 @@
             while data := await reader.read(CHUNK_BYTES):
                 if answers and self.fault is ProxyFault.DELAY:
                     await asyncio.sleep(self.delay_seconds)
-                if connection.silent or self._swallows(answers):
+                if connection.silent or self._drops_data(answers):
                     continue
                 writer.write(data)
                 await writer.drain()
 
-    def _swallows(self, answers: bool) -> bool:
+    def _drops_data(self, answers: bool) -> bool:
         if self.fault is ProxyFault.CUT:
             return True
         return answers and self.fault is ProxyFault.CUT_ANSWERS
--- a/src/beamloom/soak/run.py
+++ b/src/beamloom/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: traffic and faults drawn by chance from a seed, and what came of it."""
+"""Runs one soak: traffic and faults drawn from a seed, and the results."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 from beamloom.soak.signal_bursts import SignalBursts
 from beamloom.standins.token_client import FlowPlan
 
-OPENING_PERIOD_SECONDS = 0.05
-LONGEST_FAULT_PAUSE_SECONDS = 4.0
+OPENING_INTERVAL_SECONDS = 0.05
+MAXIMUM_FAULT_INTERVAL_SECONDS = 4.0
 QUIET_END_SECONDS = 10.0
 SETTLE_SECONDS = 5.0
-LONGEST_PLATFORM_PAUSE_SECONDS = 8.0
-"""A store is back, and its writers have written again, after seven seconds at most. Within the
-traffic of the shortest soak that tests play, 45 s, each of the platform's faults strikes.
+MAXIMUM_PLATFORM_INTERVAL_SECONDS = 8.0
+"""A restore and the writes after it take up to 7 s. In a soak of 45 s, as in the tests, there is
+time for each of the platform's faults.
 """
-SIGNALS_SEED = 3
-"""Added to a soak's own, as 1 and 2 are for the platform's faults."""
+SIGNALS_SEED_OFFSET = 3
+"""Added to the soak's seed; 1 and 2 are added for the platform's faults."""
 LONG_FLOWS = 6
-LONG_REQUESTS = 40
-LONGEST_REST_SECONDS = 0.8
-"""Clients that ask again and again until the backend, and each node on their way, is gone."""
+LONG_FLOW_REQUESTS = 40
+MAXIMUM_REQUEST_PAUSE_SECONDS = 0.8
+"""Flows with many requests, which may outlast their endpoint and the nodes on their path."""
 
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """One soak; `folder` takes the nodes' settings and logs.
+    """Options of one soak; `folder` takes the nodes' settings and logs.
 
-    Only faults of these kinds strike where `kinds` are named; planned changes always do. With
-    `strikes_platform` the platform's own faults strike besides, each in a series with others.
+    With `kinds`, only faults of these names are injected, besides planned changes. Without `kinds`,
+    `injects_platform_faults` adds faults of the platform, and bursts of signals.
     """
 
     seed: int
@@ -45,14 +45,14 @@
     nodes: int
     folder: Path
     kinds: frozenset[str] = frozenset()
-    strikes_platform: bool = True
+    injects_platform_faults: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What became of the flows, which faults struck when, and which promises broke.
+    """Counts of flows by final state, injected faults with their times, and violations.
 
-    Times are in seconds since the first traffic.
+    Times are in seconds since the start of traffic.
     """
 
     flows: Counter[str]
@@ -62,54 +62,58 @@
 
 
 async def run_soak(options: SoakOptions) -> SoakResult:
-    """Play one soak to its end; everything that it started is ended then."""
+    """Run one soak; everything that it started has ended on return."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-    chance = random.Random(options.seed)
+    rng = random.Random(options.seed)
     harness = SoakHarness(options.folder, options.nodes, options.seed)
     try:
         await harness.start()
-        faults = SoakFaults(harness, chance, options.kinds, seed=options.seed)
-        if options.strikes_platform and not options.kinds:
-            harness.spawn(_strike_platform(harness, faults, options))
-            bursts = SignalBursts(harness, random.Random(options.seed + SIGNALS_SEED))
+        faults = SoakFaults(harness, rng, options.kinds, seed=options.seed)
+        if options.injects_platform_faults and not options.kinds:
+            harness.spawn(_inject_platform_faults(harness, faults, options))
+            bursts = SignalBursts(harness, random.Random(options.seed + SIGNALS_SEED_OFFSET))
             harness.spawn(bursts.run(harness.now + options.duration - QUIET_END_SECONDS))
-        await _play(harness, faults, chance, options.duration)
-        return _result(harness, faults)
+        await _run_traffic(harness, faults, rng, options.duration)
+        return _collect_result(harness, faults)
     finally:
         await harness.close()
 
 
-async def _play(
-    harness: SoakHarness, faults: SoakFaults, chance: random.Random, duration: float
+async def _run_traffic(
+    harness: SoakHarness, faults: SoakFaults, rng: random.Random, duration: float
 ) -> None:
     end = harness.now + duration
     last_fault = end - QUIET_END_SECONDS
     next_fault = harness.now + SETTLE_SECONDS
     while harness.now < end:
-        plan = FlowPlan(requests=chance.randrange(1, 6), rest_seconds=chance.uniform(0.2, 3.0))
+        plan = FlowPlan(requests=rng.randrange(1, 6), rest_seconds=rng.uniform(0.2, 3.0))
         harness.open_flow(plan)
         if next_fault <= harness.now < last_fault:
-            faults.strike()
-            next_fault = harness.now + chance.uniform(0.3, LONGEST_FAULT_PAUSE_SECONDS)
-        await asyncio.sleep(OPENING_PERIOD_SECONDS)
+            faults.inject()
+            next_fault = harness.now + rng.uniform(0.3, MAXIMUM_FAULT_INTERVAL_SECONDS)
+        await asyncio.sleep(OPENING_INTERVAL_SECONDS)
     await asyncio.sleep(QUIET_END_SECONDS / 2)
 
 
-async def _strike_platform(harness: SoakHarness, faults: SoakFaults, options: SoakOptions) -> None:
-    """Let the platform's own faults strike, and clients that stay for long ask on meanwhile."""
-    chance = random.Random(options.seed + 2)
+async def _inject_platform_faults(
+    harness: SoakHarness, faults: SoakFaults, options: SoakOptions
+) -> None:
+    """Inject faults of the platform until shortly before the end, with long flows beside each."""
+    rng = random.Random(options.seed + 2)
     last_fault = harness.now + options.duration - QUIET_END_SECONDS - SERIES_SECONDS
     await asyncio.sleep(SETTLE_SECONDS)
     while harness.now < last_fault:
-        faults.strike_platform()
+        faults.inject_platform_fault()
         for _ in range(LONG_FLOWS):
-            harness.open_flow(FlowPlan(LONG_REQUESTS, chance.uniform(0.1, LONGEST_REST_SECONDS)))
-        await asyncio.sleep(chance.uniform(1.0, LONGEST_PLATFORM_PAUSE_SECONDS))
+            harness.open_flow(
+                FlowPlan(LONG_FLOW_REQUESTS, rng.uniform(0.1, MAXIMUM_REQUEST_PAUSE_SECONDS))
+            )
+        await asyncio.sleep(rng.uniform(1.0, MAXIMUM_PLATFORM_INTERVAL_SECONDS))
 
 
-def _result(harness: SoakHarness, faults: SoakFaults) -> SoakResult:
+def _collect_result(harness: SoakHarness, faults: SoakFaults) -> SoakResult:
     flows = Counter(flow.state.value for flow in harness.finished)
     flows["answers"] = sum(len(flow.answers) for flow in harness.finished)
     for node in harness.nodes.values():
@@ -121,7 +125,7 @@
             detail = f"{node.name} is not ready {QUIET_END_SECONDS:g} s after the last fault"
             harness.oracle.report("recovery", harness.now, detail)
     violations = [
-        dataclasses.replace(violation, at=violation.at - faults.began_at)
+        dataclasses.replace(violation, at=violation.at - faults.started_at)
         for violation in harness.oracle.violations
     ]
-    return SoakResult(flows, faults.struck, violations, harness.oracle.counters)
+    return SoakResult(flows, faults.injected, violations, harness.oracle.counters)
--- a/src/beamloom/soak/signal_bursts.py
+++ b/src/beamloom/soak/signal_bursts.py
@@ -1,7 +1,7 @@
-"""Reloads in series at every moment of a node's life, beside whatever else befalls it.
+"""Bursts of reload signals (SIGHUP) to nodes, also while they start or stop.
 
-They are drawn from a chance of their own: each seed plays its other faults as it always did. While
-the interpreter itself starts nothing is sent: no program can take a signal then.
+They have a generator of their own, so that they do not change the other faults of a seed. No signal
+is sent while the interpreter itself starts, as no program can handle one then.
 """
 
 from __future__ import annotations
@@ -12,37 +12,37 @@
 
 from beamloom.soak.harness import SoakHarness
 
-LONGEST_PAUSE_SECONDS = 3.0
-LONGEST_BURST_SECONDS = 0.6
-"""Longer than a start, so that a burst at one goes on until the node is ready."""
-GAP_SECONDS = 0.002
-SHARE_AT_RESTARTS = 0.4
-"""How many bursts strike a node that is stopped or killed just then."""
+MAXIMUM_PAUSE_SECONDS = 3.0
+MAXIMUM_BURST_SECONDS = 0.6
+"""Longer than a start, so that a burst can last until the node is ready."""
+SIGNAL_INTERVAL_SECONDS = 0.002
+RESTART_FRACTION = 0.4
+"""Fraction of bursts that are sent to a node that was just stopped or killed."""
 
 
 class SignalBursts:
-    """Bursts on a harness, drawn by chance."""
+    """Sends bursts to random nodes of a harness at random times."""
 
-    def __init__(self, harness: SoakHarness, chance: random.Random) -> None:
+    def __init__(self, harness: SoakHarness, rng: random.Random) -> None:
         self._harness = harness
-        self._chance = chance
+        self._rng = rng
 
     async def run(self, until: float) -> None:
-        """Strike again and again until a moment of the loop's clock."""
+        """Send bursts until a time of the event loop's clock."""
         while self._harness.now < until:
-            await asyncio.sleep(self._chance.uniform(0.0, LONGEST_PAUSE_SECONDS))
-            name = self._chance.choice(sorted(self._harness.nodes))
-            await self._strike(name)
-
-    async def _strike(self, name: str) -> None:
-        """Send a burst to a node, through its planned stop, its death or its start at times."""
-        if self._chance.random() < SHARE_AT_RESTARTS:
-            end = self._chance.choice((self._harness.stop, self._harness.kill))
-            end(name)
-            await asyncio.sleep(self._chance.uniform(0.0, LONGEST_BURST_SECONDS))
+            await asyncio.sleep(self._rng.uniform(0.0, MAXIMUM_PAUSE_SECONDS))
+            name = self._rng.choice(sorted(self._harness.nodes))
+            await self._send_burst(name)
+
+    async def _send_burst(self, name: str) -> None:
+        """Send a burst to a node, sometimes after stopping or killing it."""
+        if self._rng.random() < RESTART_FRACTION:
+            stop_node = self._rng.choice((self._harness.stop, self._harness.kill))
+            stop_node(name)
+            await asyncio.sleep(self._rng.uniform(0.0, MAXIMUM_BURST_SECONDS))
         node = self._harness.nodes[name]
-        end_at = self._harness.now + self._chance.uniform(0.0, LONGEST_BURST_SECONDS)
+        end_at = self._harness.now + self._rng.uniform(0.0, MAXIMUM_BURST_SECONDS)
         while self._harness.now < end_at:
-            if node.holds(signal.SIGHUP):
+            if node.handles_signal(signal.SIGHUP):
                 node.send(signal.SIGHUP)
-            await asyncio.sleep(GAP_SECONDS)
+            await asyncio.sleep(SIGNAL_INTERVAL_SECONDS)
--- a/tests/soak/test_short_soak.py
+++ b/tests/soak/test_short_soak.py
@@ -19,7 +19,7 @@
 SECONDS = 45.0
 NODES = 4
 SEED = 22
-OF_PLATFORM = {"store_restored", "endpoint_reborn", "service_reborn", "foreign_entries"}
+PLATFORM_FAULTS = {"store_restored", "endpoint_reborn", "service_reborn", "foreign_entries"}
 
 
 class ShortSoakTest(unittest.TestCase):
@@ -27,11 +27,11 @@
         with tempfile.TemporaryDirectory() as folder:
             result = asyncio.run(run_soak(SoakOptions(SEED, SECONDS, NODES, Path(folder))))
         self.assertEqual(result.violations, [], result.faults)
-        self.assert_it_played(result)
+        self.assert_faults_and_flows(result)
 
-    def assert_it_played(self, result: SoakResult) -> None:
+    def assert_faults_and_flows(self, result: SoakResult) -> None:
         """Show that faults of the platform struck beside others, and that flows were served."""
         kinds = {fault.split()[1] for fault in result.faults}
-        self.assertLessEqual(OF_PLATFORM, kinds)
-        self.assertGreater(len(kinds - OF_PLATFORM), 3)
+        self.assertLessEqual(PLATFORM_FAULTS, kinds)
+        self.assertGreater(len(kinds - PLATFORM_FAULTS), 3)
         self.assertGreater(result.flows["done"], 300)
--- a/tests/unit/simulation/test_large_fleet.py
+++ b/tests/unit/simulation/test_large_fleet.py
@@ -8,7 +8,7 @@
 from beamloom.replication.reading_times import reading_times
 from beamloom.replication.reading_turn import CallPurpose
 from beamloom.replication.view_exchange import HEARTBEAT_SECONDS
-from beamloom.simulation.tokens.deployment import first_routes
+from beamloom.simulation.tokens.deployment import initial_routes
 from beamloom.simulation.tokens.fleet import TokenFleet
 from beamloom.simulation.tokens.node import BACKENDS, CONFIGURATION, EVACUATIONS
 from beamloom.simulation.tokens.store_link import StoreFault
@@ -16,7 +16,7 @@
 OUTAGE_SECONDS = 6.0
 SETTLING_SECONDS = 6.0
 """By then each node of a common start has met its peers, and knows who reads."""
-NEWS_SECONDS = 0.3
+GOSSIP_SECONDS = 0.3
 """A call to the store, and a few steps from node to node."""
 CONFIGURATION_KIND = 1
 CONTACT_SECONDS = 4.0
@@ -30,7 +30,7 @@
         fleet = TokenFleet(5, nodes=nodes)
         fleet.run(8.0)
         before = fleet.link.calls
-        fleet.disturb_store(fault, OUTAGE_SECONDS)
+        fleet.inject_store_fault(fault, OUTAGE_SECONDS)
         fleet.run(OUTAGE_SECONDS)
         calls = fleet.link.calls - before
         back_at = fleet.clock.now
@@ -84,7 +84,7 @@
         self.fleet = TokenFleet(11, nodes=40)
         self.fleet.run(SETTLING_SECONDS + 2.0)
 
-    def missing(self) -> list[str]:
+    def nodes_without_newest(self) -> list[str]:
         """Return the living nodes that do not have the newest configuration in force."""
         return [
             name
@@ -102,20 +102,20 @@
     def test_nearly_all_hear_news_within_a_moment_while_both_readers_live(self) -> None:
         """A node that nobody happened to choose hears by the next heartbeats."""
         for _ in range(5):
-            self.fleet.set_routes(first_routes())
-            self.fleet.run(NEWS_SECONDS)
-            self.assertLessEqual(len(self.missing()), 2)
+            self.fleet.set_routes(initial_routes())
+            self.fleet.run(GOSSIP_SECONDS)
+            self.assertLessEqual(len(self.nodes_without_newest()), 2)
             self.fleet.run(2 * HEARTBEAT_SECONDS)
-            self.assertEqual(self.missing(), [])
+            self.assertEqual(self.nodes_without_newest(), [])
             self.fleet.run(1.0)
 
     def test_news_of_a_kind_whose_reader_has_died_waits_for_the_other_one(self) -> None:
         self.fleet.kill_node(self.reader_of_configurations(), restart=False)
-        self.fleet.set_routes(first_routes())
-        self.fleet.run(NEWS_SECONDS)
-        self.assertNotEqual(self.missing(), [])
+        self.fleet.set_routes(initial_routes())
+        self.fleet.run(GOSSIP_SECONDS)
+        self.assertNotEqual(self.nodes_without_newest(), [])
         self.fleet.run(reading_times().overdue_seconds)
-        self.assertEqual(self.missing(), [])
+        self.assertEqual(self.nodes_without_newest(), [])
 
 
 def calls_by_purpose(fleet: TokenFleet, *kinds: str) -> Counter[str]:
--- a/tests/unit/simulation/test_store_restored.py
+++ b/tests/unit/simulation/test_store_restored.py
@@ -35,11 +35,11 @@
 MARGIN_SECONDS = 0.1
 CHANGES = 12
 """So many revisions are lost with the copy, and as many given out anew take far longer."""
-LATE_SECONDS = 9.0
+LATE_REWRITE_SECONDS = 9.0
 """Longer than a change may take from the moment at which a node is in touch again."""
-LATE_SEEDS = range(25, 30)
+LATE_REWRITE_SEEDS = range(25, 30)
 RESTORED_SEEDS = range(300, 312)
-UNTOLD_SEEDS = range(312, 318)
+UNREPORTED_ERA_SEEDS = range(312, 318)
 
 
 class RestoredStoreTest(unittest.TestCase):
@@ -53,7 +53,7 @@
         for _ in range(CHANGES):
             self.fleet.set_routes(self.fleet.routes)
             self.fleet.run(0.25)
-        self.restores.restore(AWAY_SECONDS, age_seconds=CHANGES * 0.25 + 0.5)
+        self.restores.restore(AWAY_SECONDS, copy_age_seconds=CHANGES * 0.25 + 0.5)
         self.fleet.run(AWAY_SECONDS + CONTACT_SECONDS + MARGIN_SECONDS)
 
     def serve(self, seconds: float) -> None:
@@ -91,11 +91,11 @@
         routes for 7.7 s, 17 times in the time in which they were bound to know better.
         """
 
-        def write_late(fleet: TokenFleet) -> Iterator[Writer]:
-            yield Writer(fleet._configure_again, LATE_SECONDS, LATE_SECONDS)
+        def late_writers(fleet: TokenFleet) -> Iterator[Writer]:
+            yield Writer(fleet._rewrite_configuration, LATE_REWRITE_SECONDS, LATE_REWRITE_SECONDS)
 
-        for seed in LATE_SEEDS:
-            with self.subTest(seed=seed), mock.patch.object(TokenFleet, "writers", write_late):
+        for seed in LATE_REWRITE_SEEDS:
+            with self.subTest(seed=seed), mock.patch.object(TokenFleet, "writers", late_writers):
                 self.fleet = TokenFleet(seed, join_seconds=0.4)
                 restores = self.fleet.make_restorable(random.Random(seed))
                 self.fleet.run(SETTLED_SECONDS)
@@ -103,18 +103,18 @@
                 routes = self.fleet.routes
                 self.fleet.set_routes({first: routes[second], second: routes[first]})
                 self.fleet.run(0.6 + 0.1 * (seed % 5))
-                restores.restore(1.0, age_seconds=2.0)
+                restores.restore(1.0, copy_age_seconds=2.0)
                 self.fleet.run(0.55)
                 for name in sorted(self.fleet.nodes)[:3]:
                     self.fleet.kill_node(name)
-                self.serve(LATE_SECONDS + 1.0)
+                self.serve(LATE_REWRITE_SECONDS + 1.0)
                 self.assertEqual(self.fleet.oracle.violations, [])
 
     def test_no_rule_breaks_where_it_strikes_beside_other_faults(self) -> None:
-        self.assert_no_rule_breaks(RESTORED_SEEDS, tells_era=True)
+        self.assert_no_rule_breaks(RESTORED_SEEDS, reports_era=True)
 
     def test_nor_where_the_store_does_not_tell_its_era(self) -> None:
-        self.assert_no_rule_breaks(UNTOLD_SEEDS, tells_era=False)
+        self.assert_no_rule_breaks(UNREPORTED_ERA_SEEDS, reports_era=False)
 
     def test_nor_where_nodes_start_before_others_have_noticed_an_untold_restore(self) -> None:
         """What was taken for two orders of revisions was one entry, told at a wrong revision.
@@ -122,14 +122,14 @@
         A node reset two flows of a living backend when it believed the entry of the former owner of
         its address again; tests/unit/tokens/test_backend_lives.py tells how.
         """
-        options = TokenRunOptions(4023, faults=18, steady=False, restores=5, tells_era=False)
+        options = TokenRunOptions(4023, faults=18, steady=False, restores=5, reports_era=False)
         self.assertEqual(run_tokens(options).violations, [])
 
-    def assert_no_rule_breaks(self, seeds: range, *, tells_era: bool) -> None:
+    def assert_no_rule_breaks(self, seeds: range, *, reports_era: bool) -> None:
         for seed in seeds:
             with self.subTest(seed=seed):
                 options = TokenRunOptions(
-                    seed, faults=15, steady=seed % 2 == 0, restores=4, tells_era=tells_era
+                    seed, faults=15, steady=seed % 2 == 0, restores=4, reports_era=reports_era
                 )
                 result = run_tokens(options)
                 self.assertEqual(result.violations, [])
--- a/tests/unit/simulation/test_token_fleet.py
+++ b/tests/unit/simulation/test_token_fleet.py
@@ -84,7 +84,7 @@
     def test_after_a_silent_store_all_hear_within_the_contact_time(self) -> None:
         fleet = TokenFleet(seed=5)
         fleet.run(6.0)
-        fleet.disturb_store(StoreFault.SILENT, 6.0)
+        fleet.inject_store_fault(StoreFault.SILENT, 6.0)
         fleet.run(3.0)
         fleet.set_routes({key: frozenset({"labeller"}) for key in fleet.routes})
         fleet.run(3.0 + 2.5)
--- a/tests/unit/test_soak_platform.py
+++ b/tests/unit/test_soak_platform.py
@@ -10,7 +10,7 @@
 
 from beamloom.simulation.tokens.deployment import SERVICES, destination, endpoint_record
 from beamloom.simulation.tokens.oracle import APPLY_SECONDS, TokenOracle
-from beamloom.soak.cold_openings import MOST_OPENINGS, WARM_UP_SECONDS, ColdOpenings
+from beamloom.soak.cold_openings import MAXIMUM_OPENINGS, WARM_UP_SECONDS, ColdOpenings
 from beamloom.soak.faults import SoakFaults, UnknownFaultError
 from beamloom.soak.harness import SoakHarness
 from beamloom.soak.platform_side import SoakPlatform
@@ -31,27 +31,27 @@
 
 class OverlappingFaultsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.waiting: list[tuple[float, Callable[[], object]]] = []
-        self.platform = SoakPlatform(NETWORK, TokenOracle(), lambda: 0.0, self._later)
+        self.scheduled: list[tuple[float, Callable[[], object]]] = []
+        self.platform = SoakPlatform(NETWORK, TokenOracle(), lambda: 0.0, self._call_later)
 
-    def _later(self, seconds: float, act: Callable[[], object]) -> None:
-        self.waiting.append((seconds, act))
+    def _call_later(self, seconds: float, callback: Callable[[], object]) -> None:
+        self.scheduled.append((seconds, callback))
 
     def test_a_fault_that_strikes_twice_ends_with_the_last_stroke(self) -> None:
         """Soak seed 3764041940: after two strokes the store stayed unavailable."""
-        self.platform.disturb_store("unavailable", True, 4.0)
-        self.platform.disturb_store("unavailable", True, 4.0)
-        self.waiting[0][1]()
+        self.platform.inject_store_fault("unavailable", True, 4.0)
+        self.platform.inject_store_fault("unavailable", True, 4.0)
+        self.scheduled[0][1]()
         self.assertTrue(self.platform.server.faults.unavailable)
-        self.waiting[1][1]()
+        self.scheduled[1][1]()
         self.assertFalse(self.platform.server.faults.unavailable)
 
     def test_a_host_that_is_turned_away_twice_is_served_after_the_last_stroke(self) -> None:
         hosts = self.platform.server.faults.silent_hosts
-        self.platform.disturb_hosts("silent_hosts", ["a", "b"], 4.0)
-        self.platform.disturb_hosts("silent_hosts", ["b"], 4.0)
-        for expected, (_, act) in zip(({"b"}, {"b"}, set()), self.waiting, strict=True):
-            act()
+        self.platform.inject_host_fault("silent_hosts", ["a", "b"], 4.0)
+        self.platform.inject_host_fault("silent_hosts", ["b"], 4.0)
+        for expected, (_, callback) in zip(({"b"}, {"b"}, set()), self.scheduled, strict=True):
+            callback()
             self.assertEqual(hosts, expected)
 
 
@@ -125,17 +125,17 @@
 
     def _open(self, flows: range, now: float) -> None:
         for number in flows:
-            self.cold.judge(COLD, client(number), now)
+            self.cold.check_opening(COLD, client(number), now)
 
     def test_a_second_with_too_many_flows_is_reported(self) -> None:
-        most = int(MOST_OPENINGS)
+        most = int(MAXIMUM_OPENINGS)
         self._open(range(most), 11.0)
         self.assertEqual(self.oracle.violations, [])
         self._open(range(most, most + 1), 11.9)
         self.assertEqual([violation.rule for violation in self.oracle.violations], ["cold"])
 
     def test_copies_other_seconds_and_warm_ones_do_not_count(self) -> None:
-        most = int(MOST_OPENINGS)
+        most = int(MAXIMUM_OPENINGS)
         self._open(range(most), 11.0)
         self._open(range(most), 11.5)
         self._open(range(most, 2 * most), 12.0)
@@ -144,10 +144,10 @@
 
     def test_nodes_may_refuse_only_while_each_endpoint_may_seem_cold(self) -> None:
         warm_again = 10.0 + WARM_UP_SECONDS
-        self.assertTrue(self.cold.may_all_seem_cold([COLD.name], warm_again + 2.9))
-        self.assertFalse(self.cold.may_all_seem_cold([COLD.name], warm_again + 3.1))
-        self.assertFalse(self.cold.may_all_seem_cold([COLD.name, "warm"], 11.0))
-        self.assertFalse(self.cold.may_all_seem_cold([], 11.0))
+        self.assertTrue(self.cold.may_all_be_presumed_cold([COLD.name], warm_again + 2.9))
+        self.assertFalse(self.cold.may_all_be_presumed_cold([COLD.name], warm_again + 3.1))
+        self.assertFalse(self.cold.may_all_be_presumed_cold([COLD.name, "warm"], 11.0))
+        self.assertFalse(self.cold.may_all_be_presumed_cold([], 11.0))
 
 
 class NetworkTest(unittest.IsolatedAsyncioTestCase):
@@ -171,15 +171,15 @@
 class ReleaseTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_release_leaves_a_service_with_cold_endpoints_only(self) -> None:
         oracle = TokenOracle()
-        platform = SoakPlatform("127.63", oracle, lambda: 20.0, lambda seconds, act: None)
+        platform = SoakPlatform("127.63", oracle, lambda: 20.0, lambda seconds, callback: None)
         await platform.start()
         self.addAsyncCleanup(platform.close)
-        self.assertFalse(platform.serves_nobody(destination(1)))
+        self.assertFalse(platform.may_have_no_backend(destination(1)))
         before = len(platform.running_endpoints(SERVICES[0]))
         platform.release(SERVICES[0])
         self.assertEqual(len(platform.running_endpoints(SERVICES[0])), before)
-        self.assertTrue(platform.serves_nobody(destination(1)))
-        self.assertFalse(platform.serves_nobody(destination(2)))
+        self.assertTrue(platform.may_have_no_backend(destination(1)))
+        self.assertFalse(platform.may_have_no_backend(destination(2)))
 
     async def test_nodes_may_go_by_the_route_before_for_as_long_as_a_change_may_take(self) -> None:
         """Soak seed 408: a refusal by the former route, 0.2 s after the change, was reported.
@@ -188,16 +188,18 @@
         warm ones; the node heard of the new route 0.1 s later.
         """
         now = [20.0]
-        platform = SoakPlatform("127.63", TokenOracle(), lambda: now[0], lambda seconds, act: None)
+        platform = SoakPlatform(
+            "127.63", TokenOracle(), lambda: now[0], lambda seconds, callback: None
+        )
         await platform.start()
         self.addAsyncCleanup(platform.close)
         platform.release(SERVICES[0])
         first, second = destination(1), destination(2)
         platform.set_routes({first: platform.routes[second], second: platform.routes[first]})
         now[0] += 0.2
-        self.assertTrue(platform.serves_nobody(first))
+        self.assertTrue(platform.may_have_no_backend(first))
         now[0] += APPLY_SECONDS
-        self.assertFalse(platform.serves_nobody(first))
+        self.assertFalse(platform.may_have_no_backend(first))
 
 
 if __name__ == "__main__":
