--- a/tests/soak/test_short_soak.py
+++ b/tests/soak/test_short_soak.py
@@ -1,12 +1,7 @@
 """A short soak with a fixed seed; longer ones with fresh seeds are started by hand.
 
-Its module runs after all others: what it judges are times of real processes.
-
-Once a node was gone at its end (exit status -1): its platform had told it, right after a planned
-restart, that its settings have changed. Its handlers were installed only when all of its modules
-had been imported, which beside other work took 0.2 s; tests/functional/test_signals.py tells how
-that was found, and sends signals at every moment of a node's life. What ends a node now tells which
-signal it got last and how long after its start.
+This module runs after all others, as it checks the timing of real processes. It guards, too,
+against nodes that a signal ends early in their start; see tests/functional/test_signals.py.
 """
 
 import asyncio
@@ -30,7 +25,7 @@
         self.assert_faults_and_flows(result)
 
     def assert_faults_and_flows(self, result: SoakResult) -> None:
-        """Show that faults of the platform struck beside others, and that flows were served."""
+        """Check that both kinds of faults were injected and that flows were served."""
         kinds = {fault.split()[1] for fault in result.faults}
         self.assertLessEqual(PLATFORM_FAULTS, kinds)
         self.assertGreater(len(kinds - PLATFORM_FAULTS), 3)
--- a/tests/unit/simulation/test_large_fleet.py
+++ b/tests/unit/simulation/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""What a large fleet asks of the store when all of it starts, or the store goes and comes back."""
+"""Calls of a large fleet to the store at a start of all nodes and in an outage of the store."""
 
 import itertools
 import unittest
@@ -15,16 +15,16 @@
 
 OUTAGE_SECONDS = 6.0
 SETTLING_SECONDS = 6.0
-"""By then each node of a common start has met its peers, and knows who reads."""
+"""After this time, nodes that started together have joined their peers and know the readers."""
 GOSSIP_SECONDS = 0.3
-"""A call to the store, and a few steps from node to node."""
+"""Time for a call to the store and a few rounds of gossip."""
 CONFIGURATION_KIND = 1
 CONTACT_SECONDS = 4.0
-"""The users' bound, by default, for hearing of the store again once it answers."""
+"""Default bound for regaining contact with the store once it answers again."""
 
 
 class StoreOutageTest(unittest.TestCase):
-    """Each of 195 nodes asked 2.5 times a second for each kind while the store refused them."""
+    """Guards against every node retrying at a fixed rate while the store is unavailable."""
 
     def calls_of_outage(self, nodes: int, fault: StoreFault) -> int:
         fleet = TokenFleet(5, nodes=nodes)
@@ -41,21 +41,21 @@
                 self.assertGreater(view.confirmed_at or 0.0, back_at)
         return calls
 
-    def test_a_store_that_refuses_all_is_asked_by_few_at_a_time(self) -> None:
+    def test_few_nodes_at_a_time_call_a_refusing_store(self) -> None:
         for nodes in (24, 195):
             with self.subTest(nodes=nodes):
                 calls = self.calls_of_outage(nodes, StoreFault.REFUSES)
                 self.assertLess(calls / nodes, 8.0)
 
-    def test_a_silent_store_is_asked_by_few_at_a_time(self) -> None:
+    def test_few_nodes_at_a_time_call_a_silent_store(self) -> None:
         calls = self.calls_of_outage(195, StoreFault.SILENT)
         self.assertLess(calls / 195, 6.0)
 
 
 class CommonStartTest(unittest.TestCase):
-    """Every node became a reader, as all had listened before any of them had met its peers."""
+    """Guards against all nodes becoming readers before any of them has joined its peers."""
 
-    def test_a_fleet_that_starts_asks_little_more_than_a_list_each(self) -> None:
+    def test_starting_nodes_make_few_calls_besides_their_first_lists(self) -> None:
         for nodes in (24, 195, 764):
             with self.subTest(nodes=nodes):
                 fleet = TokenFleet(7, nodes=nodes, join_seconds=0.3)
@@ -69,7 +69,7 @@
                 readers = [node for node in fleet.nodes.values() if node.core.duty.reading]
                 self.assertEqual(len(readers), TARGET_READERS)
 
-    def test_all_hear_of_the_store_soon_after_a_common_start(self) -> None:
+    def test_all_views_are_confirmed_soon_after_a_common_start(self) -> None:
         fleet = TokenFleet(8, nodes=195, join_seconds=0.3)
         fleet.run(SETTLING_SECONDS)
         for node in fleet.nodes.values():
@@ -77,30 +77,30 @@
                 self.assertLess(view.age(fleet.clock.now) or 0.0, 3.0)
 
 
-class NewsTest(unittest.TestCase):
-    """How soon all nodes hear of a change, by which of the readers live."""
+class ChangePropagationTest(unittest.TestCase):
+    """How soon all nodes apply a change, with both readers running or one killed."""
 
     def setUp(self) -> None:
         self.fleet = TokenFleet(11, nodes=40)
         self.fleet.run(SETTLING_SECONDS + 2.0)
 
     def nodes_without_newest(self) -> list[str]:
-        """Return the living nodes that do not have the newest configuration in force."""
+        """Return the running nodes that do not have the newest configuration in force."""
         return [
             name
             for name, node in self.fleet.nodes.items()
             if node.alive and node.core.router.routes.version != self.fleet.version
         ]
 
-    def reader_of_configurations(self) -> str:
+    def configuration_reader(self) -> str:
         return next(
             name
             for name, node in self.fleet.nodes.items()
             if node.alive and node.core.duty.reads(CONFIGURATION_KIND)
         )
 
-    def test_nearly_all_hear_news_within_a_moment_while_both_readers_live(self) -> None:
-        """A node that nobody happened to choose hears by the next heartbeats."""
+    def test_gossip_reaches_nearly_all_nodes_at_once_while_both_readers_run(self) -> None:
+        """Nodes that the gossip missed receive the change with the next heartbeats."""
         for _ in range(5):
             self.fleet.set_routes(initial_routes())
             self.fleet.run(GOSSIP_SECONDS)
@@ -109,8 +109,8 @@
             self.assertEqual(self.nodes_without_newest(), [])
             self.fleet.run(1.0)
 
-    def test_news_of_a_kind_whose_reader_has_died_waits_for_the_other_one(self) -> None:
-        self.fleet.kill_node(self.reader_of_configurations(), restart=False)
+    def test_other_reader_takes_over_the_kind_of_a_killed_reader(self) -> None:
+        self.fleet.kill_node(self.configuration_reader(), restart=False)
         self.fleet.set_routes(initial_routes())
         self.fleet.run(GOSSIP_SECONDS)
         self.assertNotEqual(self.nodes_without_newest(), [])
@@ -119,7 +119,7 @@
 
 
 def calls_by_purpose(fleet: TokenFleet, *kinds: str) -> Counter[str]:
-    """Return the calls for some kinds that a fleet has made, by what each was for."""
+    """Return the number of a fleet's calls for some kinds, by purpose."""
     total: Counter[str] = Counter()
     for kind, purpose in itertools.product(kinds, CallPurpose):
         name = f"call_{kind}_{purpose.value}"
--- a/tests/unit/simulation/test_store_restored.py
+++ b/tests/unit/simulation/test_store_restored.py
@@ -1,21 +1,7 @@
-"""A store that came back from an older copy of itself, and nodes that went on from what they knew.
-
-What users saw: a backend that had said that it drains got new flows more than 3 s later, and a
-route that had been changed was served as before for as long.
-
-The order of events: the store was away for two to three seconds and came back some seconds older,
-so that its revision was lower than the one that all nodes knew. The watches of both readers were
-told that their revision is not there. They listed; the list was older than their views and changed
-nothing, yet confirmed them; and they watched again from where they had been. For four to ten
-seconds they did this a hundred times a second, until the store had given out the missing revisions
-anew. What was written meanwhile below the known revision was heard of nowhere, or by the one reader
-whose view was lower, from which peers at a higher number took nothing.
-
-The evidence: answers with 410 and with 200 by turns in the store's figures, 110 a second; a
-draining heard as revision 18 by one reader alone, and the next one, 22, by all nodes; a version of
-the configuration, written 4 s after the store was back, that no node ever put in force, while the
-next one reached all. Here the same order of events brought 3,000 calls in 4 s and new flows by the
-old routes from all nodes.
+"""A store that is restored from an older copy, below the revision that the nodes know.
+
+Guards against nodes that list and watch in a tight loop, and miss changes, until the store has
+assigned the lost revisions again.
 """
 
 import random
@@ -34,9 +20,9 @@
 AWAY_SECONDS = 2.5
 MARGIN_SECONDS = 0.1
 CHANGES = 12
-"""So many revisions are lost with the copy, and as many given out anew take far longer."""
+"""Number of revisions that the restore loses; the tests write fewer after it."""
 LATE_REWRITE_SECONDS = 9.0
-"""Longer than a change may take from the moment at which a node is in touch again."""
+"""Longer than a node in contact with the store may take to apply a change."""
 LATE_REWRITE_SEEDS = range(25, 30)
 RESTORED_SEEDS = range(300, 312)
 UNREPORTED_ERA_SEEDS = range(312, 318)
@@ -49,7 +35,7 @@
         self.fleet.run(SETTLED_SECONDS)
 
     def lose_changes(self) -> None:
-        """Let the store lose the changes of some seconds, and be in touch with nodes again."""
+        """Restore the store without the last changes, and wait until nodes are in contact."""
         for _ in range(CHANGES):
             self.fleet.set_routes(self.fleet.routes)
             self.fleet.run(0.25)
@@ -57,19 +43,19 @@
         self.fleet.run(AWAY_SECONDS + CONTACT_SECONDS + MARGIN_SECONDS)
 
     def serve(self, seconds: float) -> None:
-        """Let clients open flows at both addresses all the time."""
+        """Open flows at both addresses every 0.1 s."""
         for _ in range(int(seconds / 0.1)):
             for number in (1, 2):
                 self.fleet.clients.open_flow(number, FlowPlan(requests=1, rest_seconds=0.0))
             self.fleet.run(0.1)
 
-    def test_a_draining_after_it_is_heard(self) -> None:
+    def test_drain_after_a_restore_is_applied(self) -> None:
         self.lose_changes()
         self.fleet.drain_endpoint(self.fleet.running_endpoints(SERVICES[0])[0])
         self.serve(4.0)
         self.assertEqual(self.fleet.oracle.violations, [])
 
-    def test_a_route_that_changes_after_it_is_served_anew(self) -> None:
+    def test_route_change_after_a_restore_is_applied(self) -> None:
         self.lose_changes()
         first, second = destination(1), destination(2)
         routes = self.fleet.routes
@@ -77,18 +63,17 @@
         self.serve(6.0)
         self.assertEqual(self.fleet.oracle.violations, [])
 
-    def test_the_readers_do_not_ask_all_the_time(self) -> None:
+    def test_readers_do_not_call_the_store_in_a_loop(self) -> None:
         self.lose_changes()
         before = self.fleet.link.calls
         self.fleet.run(4.0)
         self.assertLess(self.fleet.link.calls - before, 100)
 
-    def test_a_node_that_starts_then_serves_no_older_version_than_its_peers(self) -> None:
-        """Told on a page as suspected: a node read the copy itself and held to its version.
+    def test_restarted_node_applies_no_older_version_than_its_peers(self) -> None:
+        """Guards against a node that keeps the version in the restored copy.
 
-        Its peers knew the newer one, and kept it, at the same revision of the store; so neither
-        asked the other. Here operators write again only 9 s later: two nodes sent flows by the old
-        routes for 7.7 s, 17 times in the time in which they were bound to know better.
+        Its peers have a newer version at the same revision of the store. Operators write theirs
+        again only LATE_REWRITE_SECONDS after the restore.
         """
 
         def late_writers(fleet: TokenFleet) -> Iterator[Writer]:
@@ -110,22 +95,22 @@
                 self.serve(LATE_REWRITE_SECONDS + 1.0)
                 self.assertEqual(self.fleet.oracle.violations, [])
 
-    def test_no_rule_breaks_where_it_strikes_beside_other_faults(self) -> None:
-        self.assert_no_rule_breaks(RESTORED_SEEDS, reports_era=True)
+    def test_no_violation_with_restores_among_other_faults(self) -> None:
+        self.assert_no_violations(RESTORED_SEEDS, reports_era=True)
 
-    def test_nor_where_the_store_does_not_tell_its_era(self) -> None:
-        self.assert_no_rule_breaks(UNREPORTED_ERA_SEEDS, reports_era=False)
+    def test_no_violation_if_the_store_reports_no_era(self) -> None:
+        self.assert_no_violations(UNREPORTED_ERA_SEEDS, reports_era=False)
 
-    def test_nor_where_nodes_start_before_others_have_noticed_an_untold_restore(self) -> None:
-        """What was taken for two orders of revisions was one entry, told at a wrong revision.
+    def test_no_violation_if_nodes_start_before_others_detect_a_restore_without_era(self) -> None:
+        """Guards against a reset of flows at a live endpoint.
 
-        A node reset two flows of a living backend when it believed the entry of the former owner of
-        its address again; tests/unit/tokens/test_backend_lives.py tells how.
+        It occurred when a node applied the entry of the former owner of the endpoint's address
+        again; tests/unit/tokens/test_backend_lives.py covers the cause.
         """
         options = TokenRunOptions(4023, faults=18, steady=False, restores=5, reports_era=False)
         self.assertEqual(run_tokens(options).violations, [])
 
-    def assert_no_rule_breaks(self, seeds: range, *, reports_era: bool) -> None:
+    def assert_no_violations(self, seeds: range, *, reports_era: bool) -> None:
         for seed in seeds:
             with self.subTest(seed=seed):
                 options = TokenRunOptions(
--- a/tests/unit/simulation/test_token_fleet.py
+++ b/tests/unit/simulation/test_token_fleet.py
@@ -1,4 +1,4 @@
-"""The simulated token deployment: rules hold under faults, and the oracle sees them broken."""
+"""The simulated token deployment: no violations under faults, and detection by the oracle."""
 
 import unittest
 from collections.abc import Callable
@@ -23,20 +23,20 @@
 from beamloom.simulation.tokens.store_link import StoreFault
 from beamloom.standins.token_client import FlowPlan, FlowState
 
-CALM_SEEDS = range(1, 3)
+FAULTLESS_SEEDS = range(1, 3)
 FAULTY_SEEDS = range(100, 112)
 
 
-class RulesTest(unittest.TestCase):
-    def test_a_calm_run_serves_every_flow(self) -> None:
-        for seed in CALM_SEEDS:
+class FaultsTest(unittest.TestCase):
+    def test_run_without_faults_serves_every_flow(self) -> None:
+        for seed in FAULTLESS_SEEDS:
             for steady in (True, False):
                 result = run_tokens(TokenRunOptions(seed, faults=0, steady=steady, loss=0.0))
                 self.assertEqual(result.violations, [])
                 self.assertEqual(set(result.flows) - {"done", "answers", "unfinished"}, set())
                 self.assertEqual(result.flows["unfinished"], 0)
 
-    def test_no_rule_breaks_under_faults_with_either_kind_of_router(self) -> None:
+    def test_no_violation_under_faults_with_either_kind_of_router(self) -> None:
         for seed in FAULTY_SEEDS:
             with self.subTest(seed=seed):
                 options = TokenRunOptions(seed, faults=25, steady=seed % 2 == 0)
@@ -44,12 +44,12 @@
                 self.assertEqual(result.violations, [])
                 self.assertGreater(result.flows["done"], 0.9 * 600)
 
-    def test_the_same_seed_gives_the_same_run(self) -> None:
+    def test_same_seed_gives_the_same_run(self) -> None:
         options = TokenRunOptions(5, faults=20)
         first, second = run_tokens(options), run_tokens(options)
         self.assertEqual(first, second)
 
-    def test_all_nodes_killed_at_once_carry_the_open_flows_on(self) -> None:
+    def test_open_flows_survive_a_kill_of_all_nodes(self) -> None:
         fleet = TokenFleet(seed=3)
         fleet.run(6.0)
         flows = [
@@ -63,7 +63,7 @@
         self.assertEqual({len(set(flow.answers)) for flow in flows}, {1})
         self.assertEqual(fleet.oracle.violations, [])
 
-    def test_a_node_that_the_store_refuses_hears_from_its_peers(self) -> None:
+    def test_node_refused_by_the_store_receives_changes_from_peers(self) -> None:
         fleet = TokenFleet(seed=4)
         fleet.run(6.0)
         name = next(iter(fleet.nodes))
@@ -81,7 +81,7 @@
         self.assertFalse(held[0].takes_flows)
         self.assertGreater(node.observer.counters["backend_peer"], 0)
 
-    def test_after_a_silent_store_all_hear_within_the_contact_time(self) -> None:
+    def test_all_nodes_apply_a_change_soon_after_a_silent_store(self) -> None:
         fleet = TokenFleet(seed=5)
         fleet.run(6.0)
         fleet.inject_store_fault(StoreFault.SILENT, 6.0)
@@ -91,7 +91,7 @@
         versions = {node.core.router.routes.version for node in fleet.nodes.values()}
         self.assertEqual(versions, {fleet.version})
 
-    def test_an_evacuation_is_kept_by_every_node_though_the_readers_die(self) -> None:
+    def test_every_node_keeps_an_evacuation_when_the_readers_are_killed(self) -> None:
         for seed in range(3):
             fleet = TokenFleet(seed=seed, nodes=12, endpoints=18)
             fleet.run(6.0)
@@ -108,7 +108,7 @@
                 assert node.core.evacuations is not None
                 self.assertEqual(set(node.core.evacuations.since), {zone}, name)
 
-    def test_an_evacuation_outlives_a_start_of_all_nodes_and_a_lost_history(self) -> None:
+    def test_evacuation_survives_a_restart_of_all_nodes_and_a_lost_history(self) -> None:
         fleet = TokenFleet(seed=8, nodes=12, join_seconds=0.4)
         fleet.run(6.0)
         fleet.evacuate_zone(ZONES[0], 30.0)
@@ -121,7 +121,7 @@
             assert node.core.evacuations is not None
             self.assertEqual(set(node.core.evacuations.since), {ZONES[0]})
 
-    def test_the_store_is_asked_by_few(self) -> None:
+    def test_store_calls_hardly_grow_with_the_fleet(self) -> None:
         calls = {}
         for nodes in (7, 40):
             fleet = TokenFleet(seed=6, nodes=nodes)
@@ -140,13 +140,13 @@
 
 
 class BrokenCoresTest(unittest.TestCase):
-    """Each core breaks one promise on purpose; the oracle must say which."""
+    """Each patched core violates one rule on purpose; the oracle must report it."""
 
-    def play(self, seeds: range, faults: int = 25) -> set[str]:
+    def run_and_collect_rules(self, seeds: range, faults: int = 25) -> set[str]:
         results = [run_tokens(TokenRunOptions(seed, faults=faults)) for seed in seeds]
         return {violation.rule for result in results for violation in result.violations}
 
-    def test_a_reset_on_an_open_flow_is_seen(self) -> None:
+    def test_reset_of_an_open_flow_is_reported(self) -> None:
         original = TokenRouter.handle
 
         def reset_unknown(router: TokenRouter, packet: ClientPacket, now: float) -> RouterCommand:
@@ -157,9 +157,9 @@
             return command
 
         with mock.patch.object(TokenRouter, "handle", reset_unknown):
-            self.assertIn("flow", self.play(range(1, 2), faults=0))
+            self.assertIn("flow", self.run_and_collect_rules(range(1, 2), faults=0))
 
-    def test_a_node_deaf_to_drains_is_seen(self) -> None:
+    def test_ignored_drains_are_reported(self) -> None:
         with mock.patch.object(BackendTable, "remove", lambda *_: None):
             original = BackendTable.update
 
@@ -169,29 +169,29 @@
                 return original(table, record, revision, now)  # type: ignore[arg-type]
 
             with mock.patch.object(BackendTable, "update", only_ready):
-                self.assertIn("drain", self.play(range(100, 108)))
+                self.assertIn("drain", self.run_and_collect_rules(range(100, 108)))
 
-    def test_a_node_that_keeps_an_old_configuration_is_seen(self) -> None:
+    def test_outdated_configuration_is_reported(self) -> None:
         original = RouteTable.put_in_force
 
         def only_first(table: RouteTable, configuration: object) -> bool:
             return table.version < 0 and original(table, configuration)  # type: ignore[arg-type]
 
         with mock.patch.object(RouteTable, "put_in_force", only_first):
-            self.assertIn("configuration", self.play(range(100, 104)))
+            self.assertIn("configuration", self.run_and_collect_rules(range(100, 104)))
 
-    def test_an_evacuation_that_is_not_obeyed_is_seen(self) -> None:
+    def test_ignored_evacuation_is_reported(self) -> None:
         with mock.patch.object(BackendTable, "evacuate", lambda *_: None):
-            self.assertIn("evacuation", self.play(range(100, 104)))
+            self.assertIn("evacuation", self.run_and_collect_rules(range(100, 104)))
 
-    def test_refusals_although_there_is_a_route_are_seen(self) -> None:
+    def test_refusals_despite_a_route_are_reported(self) -> None:
         def refuse(_router: TokenRouter, packet: ClientPacket, *_: object) -> RouterCommand:
             return ResetFlow(packet.flow, RefusalReason.NO_ROUTE)
 
         with mock.patch.object(TokenRouter, "_open", refuse):
-            self.assertIn("configuration", self.play(range(1, 2), faults=0))
+            self.assertIn("configuration", self.run_and_collect_rules(range(1, 2), faults=0))
 
-    def test_altered_packets_are_seen(self) -> None:
+    def test_altered_packets_are_reported(self) -> None:
         from beamloom.platform import packet_layout
 
         original: Callable[[ForwardPacket], bytes] = packet_layout.encode_forward
@@ -201,15 +201,17 @@
             return data[:-1] + b"!" if command.packet.data_length else data
 
         with mock.patch.object(packet_layout, "encode_forward", alter):
-            self.assertIn("unasked", self.play(range(1, 2), faults=0))
+            self.assertIn("unasked", self.run_and_collect_rules(range(1, 2), faults=0))
 
-    def test_a_view_that_stops_learning_from_peers_and_store_is_seen(self) -> None:
+    def test_view_that_discards_changes_is_reported(self) -> None:
         original = StoreView.apply
 
-        def late(view: StoreView[object], changes: object, revision: int) -> tuple[object, ...]:
+        def discard_changes(
+            view: StoreView[object], changes: object, revision: int
+        ) -> tuple[object, ...]:
             original(view, (), revision)
             return ()
 
-        with mock.patch.object(StoreView, "apply", late):
-            rules = self.play(range(100, 104))
+        with mock.patch.object(StoreView, "apply", discard_changes):
+            rules = self.run_and_collect_rules(range(100, 104))
         self.assertTrue(rules & {"drain", "configuration"})
--- a/tests/unit/test_soak_platform.py
+++ b/tests/unit/test_soak_platform.py
@@ -1,4 +1,4 @@
-"""What surrounds the nodes of a soak: faults that overlap, proxies, and the check of cold ones."""
+"""The environment of a soak's nodes: overlapping faults, proxies, checks of cold endpoints."""
 
 import asyncio
 import random
@@ -25,7 +25,7 @@
 
 
 def client(number: int) -> FlowEnd:
-    """Return the end of one of the clients."""
+    """Return the address and port of one of the clients."""
     return FlowEnd(bytes((127, 64, 2, 1)), 20_000 + number)
 
 
@@ -37,8 +37,8 @@
     def _call_later(self, seconds: float, callback: Callable[[], object]) -> None:
         self.scheduled.append((seconds, callback))
 
-    def test_a_fault_that_strikes_twice_ends_with_the_last_stroke(self) -> None:
-        """Soak seed 3764041940: after two strokes the store stayed unavailable."""
+    def test_store_fault_ends_with_the_last_overlapping_one(self) -> None:
+        """Guards against a store that stays unavailable after two overlapping faults."""
         self.platform.inject_store_fault("unavailable", True, 4.0)
         self.platform.inject_store_fault("unavailable", True, 4.0)
         self.scheduled[0][1]()
@@ -46,7 +46,7 @@
         self.scheduled[1][1]()
         self.assertFalse(self.platform.server.faults.unavailable)
 
-    def test_a_host_that_is_turned_away_twice_is_served_after_the_last_stroke(self) -> None:
+    def test_host_fault_ends_with_the_last_overlapping_one(self) -> None:
         hosts = self.platform.server.faults.silent_hosts
         self.platform.inject_host_fault("silent_hosts", ["a", "b"], 4.0)
         self.platform.inject_host_fault("silent_hosts", ["b"], 4.0)
@@ -79,7 +79,7 @@
         async with asyncio.timeout(SILENCE_SECONDS):
             return await reader.read(100)
 
-    async def test_open_connections_fall_silent_and_new_ones_work(self) -> None:
+    async def test_open_connections_are_silenced_and_new_ones_work(self) -> None:
         old = await asyncio.open_connection(NODE_HOST, self.proxy.port)
         self.assertEqual(await self._ask(*old), b"call")
         self.proxy.silence_connections()
@@ -91,7 +91,7 @@
         for _, writer in (old, new):
             writer.close()
 
-    async def test_a_silent_connection_is_not_told_that_the_store_has_closed_it(self) -> None:
+    async def test_silent_connection_hides_a_close_by_the_store(self) -> None:
         old = await asyncio.open_connection(NODE_HOST, self.proxy.port)
         await self._ask(*old)
         self.proxy.silence_connections()
@@ -101,7 +101,7 @@
             await self._ask(*old)
         old[1].close()
 
-    async def test_a_reset_after_silence_ends_the_connection(self) -> None:
+    async def test_reset_ends_a_silent_connection(self) -> None:
         reader, writer = await asyncio.open_connection(NODE_HOST, self.proxy.port)
         await self._ask(reader, writer)
         self.proxy.silence_connections()
@@ -110,7 +110,7 @@
             await self._ask(reader, writer)
         writer.close()
 
-    async def test_the_store_sees_which_node_calls(self) -> None:
+    async def test_store_sees_a_source_address_for_each_node(self) -> None:
         reader, writer = await asyncio.open_connection(NODE_HOST, self.proxy.port)
         await self._ask(reader, writer)
         self.assertEqual(self.callers, [NODE_HOST])
@@ -127,14 +127,14 @@
         for number in flows:
             self.cold.check_opening(COLD, client(number), now)
 
-    def test_a_second_with_too_many_flows_is_reported(self) -> None:
+    def test_too_many_openings_in_a_second_are_reported(self) -> None:
         most = int(MAXIMUM_OPENINGS)
         self._open(range(most), 11.0)
         self.assertEqual(self.oracle.violations, [])
         self._open(range(most, most + 1), 11.9)
         self.assertEqual([violation.rule for violation in self.oracle.violations], ["cold"])
 
-    def test_copies_other_seconds_and_warm_ones_do_not_count(self) -> None:
+    def test_copies_other_seconds_and_warm_endpoints_are_not_counted(self) -> None:
         most = int(MAXIMUM_OPENINGS)
         self._open(range(most), 11.0)
         self._open(range(most), 11.5)
@@ -142,7 +142,7 @@
         self._open(range(2 * most, 9 * most), 10.0 + WARM_UP_SECONDS)
         self.assertEqual(self.oracle.violations, [])
 
-    def test_nodes_may_refuse_only_while_each_endpoint_may_seem_cold(self) -> None:
+    def test_refusals_are_allowed_only_while_all_endpoints_may_be_presumed_cold(self) -> None:
         warm_again = 10.0 + WARM_UP_SECONDS
         self.assertTrue(self.cold.may_all_be_presumed_cold([COLD.name], warm_again + 2.9))
         self.assertFalse(self.cold.may_all_be_presumed_cold([COLD.name], warm_again + 3.1))
@@ -151,8 +151,8 @@
 
 
 class NetworkTest(unittest.IsolatedAsyncioTestCase):
-    async def test_two_soaks_of_the_same_process_number_do_not_meet(self) -> None:
-        """Seen once: `Address already in use` at the start of a soak beside four others."""
+    async def test_two_soaks_of_one_process_use_different_networks(self) -> None:
+        """Guards against `Address already in use` when several soaks start at once."""
         with tempfile.TemporaryDirectory() as folder:
             harnesses = [SoakHarness(Path(folder), 1, seed) for seed in range(2)]
         for harness in harnesses:
@@ -161,7 +161,7 @@
 
 
 class FaultNamesTest(unittest.TestCase):
-    def test_an_unknown_fault_is_refused_with_the_known_ones(self) -> None:
+    def test_error_for_an_unknown_fault_lists_the_known_ones(self) -> None:
         harness = Mock(spec=SoakHarness, nodes={}, platform=Mock(), now=0.0)
         SoakFaults(harness, random.Random(1), ["silence"])
         with self.assertRaisesRegex(UnknownFaultError, "no such fault: sillence; .*silence_all"):
@@ -169,7 +169,7 @@
 
 
 class ReleaseTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_release_leaves_a_service_with_cold_endpoints_only(self) -> None:
+    async def test_release_leaves_only_cold_endpoints(self) -> None:
         oracle = TokenOracle()
         platform = SoakPlatform("127.63", oracle, lambda: 20.0, lambda seconds, callback: None)
         await platform.start()
@@ -181,11 +181,10 @@
         self.assertTrue(platform.may_have_no_backend(destination(1)))
         self.assertFalse(platform.may_have_no_backend(destination(2)))
 
-    async def test_nodes_may_go_by_the_route_before_for_as_long_as_a_change_may_take(self) -> None:
-        """Soak seed 408: a refusal by the former route, 0.2 s after the change, was reported.
+    async def test_former_route_may_stay_in_force_for_the_apply_bound(self) -> None:
+        """Guards against a false report of a refusal by the former route soon after a change.
 
-        Its service had cold endpoints only (both had just started anew), that of the new route had
-        warm ones; the node heard of the new route 0.1 s later.
+        The service of the former route has cold endpoints only, that of the new one warm ones.
         """
         now = [20.0]
         platform = SoakPlatform(
--- a/tests/unit/test_update_queue.py
+++ b/tests/unit/test_update_queue.py
@@ -1,4 +1,4 @@
-"""The gossip queue: its rate is bounded, and of many updates deaths go before suspicions."""
+"""The gossip queue: its rate limit, and the order in which updates are sent."""
 
 import unittest
 
@@ -21,7 +21,7 @@
 
 
 class UpdateQueueTest(unittest.TestCase):
-    def test_a_flood_of_deaths_stays_within_the_rate(self) -> None:
+    def test_many_deaths_stay_within_the_rate_limit(self) -> None:
         queue = UpdateQueue(SETTINGS)
         sent = 0
         for step in range(1000):
@@ -32,14 +32,14 @@
         self.assertLessEqual(sent, bound)
         self.assertGreater(sent, 0.9 * bound)
 
-    def test_of_many_updates_deaths_go_first(self) -> None:
+    def test_long_queue_sends_deaths_before_suspicions(self) -> None:
         queue = UpdateQueue(SETTINGS)
         for number in range(LONG_QUEUE):
             queue.add(update(number, MemberState.SUSPECT))
         queue.add(update(LONG_QUEUE, MemberState.DEAD))
         self.assertIs(states(queue.take(MEMBERS))[0], MemberState.DEAD)
 
-    def test_of_few_updates_the_least_sent_goes_first(self) -> None:
+    def test_short_queue_sends_the_least_sent_update_first(self) -> None:
         queue = UpdateQueue(SETTINGS)
         queue.add(update(1, MemberState.DEAD))
         queue.take(MEMBERS)
@@ -47,7 +47,7 @@
         taken = states(queue.take(MEMBERS))
         self.assertEqual(taken, [MemberState.SUSPECT, MemberState.DEAD])
 
-    def test_a_queue_without_allowance_fills_no_datagram(self) -> None:
+    def test_no_datagram_is_ready_without_byte_allowance(self) -> None:
         queue = UpdateQueue(SETTINGS)
         queue.refill(0.0)
         self.assertFalse(queue.datagram_ready)
