--- a/src/beamloom/simulation/tokens/client_side.py
+++ b/src/beamloom/simulation/tokens/client_side.py
@@ -86,8 +86,8 @@
         replies = flow.handle(packet, now)
         if len(flow.answers) > count:
             oracle.check_answer(first, flow.answers[-1], str(flow.source), now)
-        for flow_name in flow.mixed:
-            oracle.report("mixed", now, flow_name)
+        for text in flow.mixed:
+            oracle.report("mixed", now, text)
         self._send(replies)
 
     def loses_packet(self) -> bool:
--- a/src/beamloom/simulation/tokens/fleet.py
+++ b/src/beamloom/simulation/tokens/fleet.py
@@ -46,7 +46,7 @@
 STEP_SECONDS = 0.02
 START_SECONDS = 0.5
 START_SPREAD_SECONDS = 0.3
-"""Maximum random delay of a node's first start, if `join_seconds` is set."""
+"""Maximum additional random delay of a node's first start, if `join_seconds` is set."""
 MAXIMUM_JOIN_FACTOR = 1.5
 """`join_seconds` is multiplied by a random factor from 1 to this one at each start."""
 STALE_READ_LAG = 6
@@ -75,8 +75,8 @@
 class TokenFleet:
     """The simulated deployment of one run; ClientSide documents `steady` and `loss`.
 
-    With `join_seconds`, nodes start at slightly different times and join their peers about that
-    long after their start; otherwise both happen at once.
+    With `join_seconds`, nodes start at slightly different times, and join their peers that long or
+    up to MAXIMUM_JOIN_FACTOR times as long after their start; without it, they join at the start.
     """
 
     def __init__(
--- a/src/beamloom/simulation/tokens/node.py
+++ b/src/beamloom/simulation/tokens/node.py
@@ -79,7 +79,7 @@
         def on_timeout() -> None:
             on_answer(StoreAnswer())
 
-        self._node.link.call_number(self._node.host, self._kind, request, wait, on_answer)
+        self._node.link.call(self._node.host, self._kind, request, wait, on_answer)
         self._node.clock.call_later(wait + CALL_PATIENCE_SECONDS, on_timeout)
 
     def _handle_answer(self, answer: StoreAnswer, asked_at: float) -> None:
--- a/src/beamloom/simulation/tokens/store_link.py
+++ b/src/beamloom/simulation/tokens/store_link.py
@@ -79,7 +79,7 @@
         self._clock = clock
         self._store = store
 
-    def call_number(
+    def call(
         self,
         host: str,
         kind: str,
--- a/src/beamloom/soak/faults.py
+++ b/src/beamloom/soak/faults.py
@@ -23,7 +23,7 @@
 CHANGES = ("drain", "reuse", "route", "evacuate")
 """Planned changes, which nodes must apply in time; the oracle's time bounds apply during them."""
 MAXIMUM_UNDETECTED_SECONDS = 1.0
-"""Within this time, nodes may not yet have detected that their connections are silent."""
+"""A change follows silenced connections within this time, when nodes may not have detected them."""
 HOST_FAULT_SECONDS = 8.0
 """Longer than the bounds of changes, so that the other nodes must apply them meanwhile."""
 ROLL_INTERVAL_SECONDS = 0.7
--- a/src/beamloom/soak/harness.py
+++ b/src/beamloom/soak/harness.py
@@ -100,10 +100,10 @@
         task.add_done_callback(self._handle_task_end)
 
     def _handle_task_end(self, task: asyncio.Task[None]) -> None:
-        """Report a task that failed, as faults would be missing from the rest of the soak."""
+        """Report a task that failed: without it, a part of the soak would be missing unnoticed."""
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.oracle.report("soak", self.now, f"a fault could not act: {task.exception()!r}")
+            self.oracle.report("soak", self.now, f"a background task failed: {task.exception()!r}")
 
     def call_later(self, seconds: float, callback: Callable[[], object]) -> None:
         """Call `callback` after `seconds`."""
--- a/src/beamloom/soak/platform_side.py
+++ b/src/beamloom/soak/platform_side.py
@@ -261,8 +261,8 @@
         This holds if in one of the configurations that may be in force, nodes may consider each
         endpoint's zone evacuated, treat the endpoint as cold, or not know it yet after a start.
         """
-        may_be_in_force = self._oracle.possible_services(destination, self._now())
-        return any(self._may_have_no_usable_backend(services) for services in may_be_in_force)
+        possible_services = self._oracle.possible_services(destination, self._now())
+        return any(self._may_have_no_usable_backend(services) for services in possible_services)
 
     def _may_have_no_usable_backend(self, services: Iterable[str]) -> bool:
         now = self._now()
--- a/src/beamloom/soak/signal_bursts.py
+++ b/src/beamloom/soak/signal_bursts.py
@@ -37,8 +37,8 @@
     async def _send_burst(self, name: str) -> None:
         """Send a burst to a node, sometimes after stopping or killing it."""
         if self._rng.random() < RESTART_FRACTION:
-            stop_node = self._rng.choice((self._harness.stop, self._harness.kill))
-            stop_node(name)
+            end_node = self._rng.choice((self._harness.stop, self._harness.kill))
+            end_node(name)
             await asyncio.sleep(self._rng.uniform(0.0, MAXIMUM_BURST_SECONDS))
         node = self._harness.nodes[name]
         end_at = self._harness.now + self._rng.uniform(0.0, MAXIMUM_BURST_SECONDS)
