--- a/src/beamloom/runtime/shared_secret.py
+++ b/src/beamloom/runtime/shared_secret.py
@@ -1,4 +1,4 @@
-"""Carries out the steps to the fleet's shared secret over a connection to the store."""
+"""Reads or creates the fleet's shared secret over a connection to the store."""
 
 import asyncio
 import os
@@ -16,7 +16,7 @@
 
 
 class SecretFormat(NamedTuple):
-    """Paths and bodies of the object that holds the secret; `decode` raises ValueError."""
+    """Paths and codecs of the object that holds the secret; `decode` raises ValueError."""
 
     read_path: str
     stale_path: str
@@ -27,34 +27,34 @@
 
 
 def no_pause() -> float:
-    """Return how long to wait beyond a node's own pause after a failure: no time."""
+    """Return 0.0: by default there is no minimum pause."""
     return 0.0
 
 
 async def fetch_shared_secret(
     secret: SharedSecret,
     connection: HttpConnection,
-    form: SecretFormat,
+    secret_format: SecretFormat,
     *,
     offered: bytes | None = None,
     first_start: bool = True,
     pause: Callable[[], float] = no_pause,
 ) -> bytes:
-    """Read the secret, making it where there is none; tries until it has one.
+    """Return the secret in the store, created first if there is none; retries until it succeeds.
 
-    What is made is the `offered` one, or a new one after neighbours had time to tell theirs, which
-    is longer where this is no `first_start` of the fleet. `pause` returns how many seconds at least
-    are to pass after a failure.
+    The `offered` secret is created, or else a random one. Before a random one, peers get time to
+    provide theirs: more if this is not the `first_start` of the fleet or the store was restored.
+    `pause` returns the minimum seconds between a failure and the next call.
     """
     while secret.value is None:
         try:
             if secret.step is SecretStep.CREATE:
                 if offered is None:
                     await asyncio.sleep(secret.make_after_seconds(first_start=first_start))
-                made = os.urandom(KEY_BYTES) if offered is None else offered
-                done = await _create(secret, connection, form, made)
+                new_secret = os.urandom(KEY_BYTES) if offered is None else offered
+                done = await _create(secret, connection, secret_format, new_secret)
             else:
-                done = await _read(secret, connection, form)
+                done = await _read(secret, connection, secret_format)
         except (CallFailedError, ValueError):
             done = False
         if not done:
@@ -62,24 +62,30 @@
     return secret.value
 
 
-async def _read(secret: SharedSecret, connection: HttpConnection, form: SecretFormat) -> bool:
-    path = form.stale_path if secret.step is SecretStep.READ_STALE else form.read_path
+async def _read(
+    secret: SharedSecret, connection: HttpConnection, secret_format: SecretFormat
+) -> bool:
+    path = (
+        secret_format.stale_path
+        if secret.step is SecretStep.READ_STALE
+        else secret_format.read_path
+    )
     answer = await connection.call("GET", path, SECRET_LIMITS)
-    secret.era = form.read_era(answer.headers)
+    secret.era = secret_format.read_era(answer.headers)
     if answer.status == STATUS_NOT_FOUND:
         secret.take_absent()
         return True
     if answer.status not in STATUSES_DONE:
         return False
-    secret.take_secret(form.decode(answer.body))
+    secret.take_secret(secret_format.decode(answer.body))
     return True
 
 
 async def _create(
-    secret: SharedSecret, connection: HttpConnection, form: SecretFormat, made: bytes
+    secret: SharedSecret, connection: HttpConnection, secret_format: SecretFormat, new_secret: bytes
 ) -> bool:
-    body = form.encode(made)
-    answer = await connection.call("POST", form.create_path, SECRET_LIMITS, body)
+    body = secret_format.encode(new_secret)
+    answer = await connection.call("POST", secret_format.create_path, SECRET_LIMITS, body)
     if answer.status in STATUSES_DONE or answer.status == STATUS_CONFLICT:
         secret.take_created()
         return True
--- a/src/beamloom/runtime/store_follower.py
+++ b/src/beamloom/runtime/store_follower.py
@@ -1,8 +1,8 @@
-"""Drives the part of a token node's core that follows the store: calls, timers, peers' datagrams.
+"""Does the I/O by which a token node's core follows the store: calls, timers, peer datagrams.
 
-Peers are joined once the fleet's secret is known; what that takes is imported only then, as a node
-is ready to serve before it. Where the store fails a starting node, the seeds are asked for the
-secret, and all else follows from peers.
+A node joins its peers once it has the fleet's secret. The modules for that are imported only then,
+since a node can serve before. If the store does not answer a starting node, the seeds provide the
+secret, and peers then provide everything else.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 Record = TypeVar("Record")
 
 JOIN_PEERS_AFTER_SECONDS = 0.3
-"""A node that has just become ready first takes the packets that waited."""
+"""Leaves a node that has just become ready time for the packets in its socket's buffer."""
 PEER_KEY_PERSON = b"beamloom-peers"
 
 
 def _kind_format(
     label: str, kind: str, translate: store_objects.Translate[Record]
 ) -> KindFormat[Record]:
-    """Return how a kind of object is asked for and read."""
+    """Return the paths and decoders for a kind of object."""
     return KindFormat(
         label,
         functools.partial(store_objects.list_path, kind),
@@ -65,14 +65,14 @@
 
 
 class StoreFollower:
-    """Reads the store for a core, and carries messages between it and other nodes' cores."""
+    """Reads the store for a core, and exchanges the core's messages with other nodes."""
 
     def __init__(
         self,
         settings: TokenNodeSettings,
         core: TokenCore,
         decisions: DecisionLog,
-        chance: random.Random,
+        rng: random.Random,
         mechanisms: Mechanisms = ALL_MECHANISMS,
     ) -> None:
         self._mechanisms = mechanisms
@@ -80,21 +80,21 @@
         self._settings = settings
         self._core = core
         self._decisions = decisions
-        self._chance = chance
+        self._rng = rng
         self._connections: list[HttpConnection] = []
         self.silent_connections: Counter[str] = Counter()
         self._has_peers = False
-        self._was_alone = False
+        self._lost_peers = False
         self.secret = FleetSecret(
             settings,
             core.role,
-            chance,
+            rng,
             self._connect(ConnectionKind.SECRET),
             self._open_link,
             decisions=decisions,
             asks_peers=mechanisms.key_from_peers,
         )
-        self.secret.on_change = self._use_secrets
+        self.secret.on_change = self._apply_secrets
         self.readers: list[StoreReader[Any]] = [
             self._make_reader(
                 _BACKENDS, core.backend_watch, core.backend_schedule, core.take_backends
@@ -115,7 +115,7 @@
             )
 
     def use_settings(self, settings: TokenNodeSettings) -> None:
-        """Call the store at the address that these settings name, and their seeds."""
+        """Apply new settings: the address of the store, and the seeds."""
         if settings.store != self._settings.store:
             for connection in self._connections:
                 connection.use(*settings.store.pair)
@@ -131,62 +131,62 @@
             group.create_task(self._follow_secret())
 
     def advance(self, now: float) -> None:
-        """Let time pass; to be called a few times a second, after the core's own."""
+        """Run whatever is due; to be called a few times a second, after the core's `advance`."""
         for reader in self.readers:
             reader.advance(now)
-        self._note_era()
+        self._check_era()
         self.send()
-        self._note_peers()
+        self._log_peer_changes()
 
-    def _note_era(self) -> None:
-        """Let the secret be looked after where the store, as this node or a peer read it, is new.
+    def _check_era(self) -> None:
+        """Pass on the newest era of the views: a store in a new era may have lost the secret.
 
-        No era is known before the first whole view.
+        The views may come from the store or from peers. Without a complete view there is no era.
         """
         views = (reader.watch.view for reader in self.readers)
         revisions = [view.revision for view in views if view.revision is not None]
         if revisions:
-            self.secret.note_era(era_of(max(revisions)))
+            self.secret.record_era(era_of(max(revisions)))
 
-    def _note_peers(self) -> None:
-        """Tell when this node is alone after it had peers, and when it is so no longer."""
+    def _log_peer_changes(self) -> None:
+        """Log when the last peer is lost, and when there are peers again."""
         if self._core.exchange is None:
             return
         has_peers = len(self._core.exchange.peers) > 0
         if has_peers == self._has_peers:
             return
-        if has_peers and self._was_alone:
+        if has_peers and self._lost_peers:
             self._decisions.dependency_regained("peers", 1)
         elif not has_peers:
-            self._was_alone = True
-            self._decisions.dependency_lost("peers", "none was heard for long", 1)
+            self._lost_peers = True
+            self._decisions.dependency_lost("peers", "no message from any peer for too long", 1)
         self._has_peers = has_peers
 
     def close(self) -> None:
-        """Leave the peers."""
+        """Close the socket for peers."""
         if self.link is not None:
             self.link.close()
             self.link = None
 
     async def _follow_secret(self) -> None:
-        """Get the fleet's secret, meet the peers, and look after the secret from then on."""
-        told_by_store = await self.secret.fetch()
+        """Get the fleet's secret, join the peers, then keep the secret in the store."""
+        is_from_store = await self.secret.fetch()
         self._core.use_key(*self.secret.known)
-        if told_by_store:
+        if is_from_store:
             await asyncio.sleep(JOIN_PEERS_AFTER_SECONDS)
         await import_gradually()
         self._join_peers()
         await self.secret.keep()
 
-    def _use_secrets(self) -> None:
-        """Mint and sign with another secret than before."""
+    def _apply_secrets(self) -> None:
+        """Use the current secrets for tokens, peer messages and requests for the secret."""
         self._core.use_key(*self.secret.known)
         if self.link is not None:
             self.link.use_keys(tuple(map(_peer_key, self.secret.known)))
-        self.secret.begin_to_answer()
+        self.secret.start_answering()
 
     def _open_link(self) -> PeerLink | None:
-        """Return the socket for peers, bound now if it was not; None where that fails."""
+        """Return the socket for peers and bind it if necessary; None if that fails."""
         if self.link is not None:
             return self.link
         from beamloom.runtime.peer_link import PeerLink
@@ -195,7 +195,11 @@
         sender = self._core.role.reader_id
         try:
             self.link = PeerLink(
-                settings.host, settings.peer_port, sender, self._take_message, self._take_open
+                settings.host,
+                settings.peer_port,
+                sender,
+                self._handle_message,
+                self._handle_unsigned,
             )
         except OSError as error:
             self._decisions.dependency_lost("peers", str(error), 1)
@@ -204,21 +208,21 @@
     def _join_peers(self) -> None:
         if self._open_link() is not None:
             self._core.join_peers(self._settings.host, self._settings.seeds)
-        self._use_secrets()
+        self._apply_secrets()
 
-    def _take_message(self, host: str, message: Message) -> None:
-        self.secret.note_member(host, _now())
+    def _handle_message(self, host: str, message: Message) -> None:
+        self.secret.record_member(host, _now())
         try:
             self._core.handle_message(host, message, _now())
         except (TypeError, ValueError) as error:
             self._decisions.life("PeerMessageRefused", host=host, reason=repr(error))
         self.send()
 
-    def _take_open(self, host: str, message: Message) -> None:
-        self.secret.take_open(host, message, _now())
+    def _handle_unsigned(self, host: str, message: Message) -> None:
+        self.secret.handle_unsigned(host, message, _now())
 
     def send(self) -> None:
-        """Send what the core has to tell other nodes."""
+        """Send the core's pending messages to other nodes."""
         if self.link is None:
             return
         for send in self._core.take_sends():
@@ -229,7 +233,7 @@
         kind: KindFormat[Record],
         watch: ObjectWatch[Record],
         schedule: StoreCallSchedule,
-        take: Callable[[tuple[ObjectChange[Record], ...], float], None],
+        apply_changes: Callable[[tuple[ObjectChange[Record], ...], float], None],
     ) -> StoreReader[Record]:
         connection = self._connect(ConnectionKind(kind.label))
         reader = StoreReader(watch, kind, connection, schedule)
@@ -240,11 +244,11 @@
         reader.on_older_list = functools.partial(self._decisions.older_list, kind.label)
         reader.on_recovery = functools.partial(self._decisions.dependency_regained, dependency)
 
-        def take_answer(changes: tuple[ObjectChange[Record], ...]) -> None:
-            take(changes, _now())
+        def apply_answer(changes: tuple[ObjectChange[Record], ...]) -> None:
+            apply_changes(changes, _now())
             self.send()
 
-        reader.on_answer = take_answer
+        reader.on_answer = apply_answer
         return reader
 
     def _connect(self, kind: ConnectionKind) -> HttpConnection:
@@ -254,19 +258,22 @@
             local_host=settings.host,
             notices_silence=self._mechanisms.silence_probes,
         )
-        connection.on_silence = functools.partial(self._note_silence, kind)
+        connection.on_silence = functools.partial(self._record_silence, kind)
         self._connections.append(connection)
         return connection
 
-    def _note_silence(self, kind: ConnectionKind, failure: CallFailure) -> None:
-        """Count a connection that may be silent; a missed deadline may be the store's fault."""
+    def _record_silence(self, kind: ConnectionKind, failure: CallFailure) -> None:
+        """Count a call that failed on a possibly silent connection.
+
+        A missed deadline is not logged: the store may just be slow.
+        """
         self.silent_connections[f"{kind.value}_{failure.value}"] += 1
         if failure is not CallFailure.DEADLINE:
             self._decisions.connection_silent(kind.value, failure.value)
 
 
 def _peer_key(secret: bytes) -> bytes:
-    """Return the key that nodes sign with, made of a secret of the fleet."""
+    """Derive the key that signs peer messages from a secret of the fleet."""
     return blake2b(key=secret, person=PEER_KEY_PERSON).digest()
 
 
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -1,8 +1,8 @@
-"""A token node: packets in and out, the store followed, readiness told, signals obeyed.
+"""A token node: forwards packets, follows the store, answers readiness probes, handles signals.
 
-Ready means: a whole list of backends, a configuration and the fleet's key have been read since the
-start, and no stop was asked for. After SIGTERM the node is unready at once and forwards on until
-the routers have turned to others; one that was never ready has nothing to forward and ends at once.
+A node is ready once it has all backends, a configuration and the fleet's key. After SIGTERM it
+waits for its turn to stop, then reports that it is not ready and keeps forwarding until the routers
+have stopped using it. A node that was never ready has nothing to forward and stops at once.
 """
 
 from __future__ import annotations
@@ -44,23 +44,26 @@
 
 METRICS_PATH = "/metrics"
 TICK_SECONDS = 0.25
-"""The first one is drawn by chance: nodes that start together must not all ask the store at once,
-but hear from the one that asked first.
+"""The delay before the first tick is random, so that nodes that start together do not all call the
+store at once: the first one passes its answer on to the others.
 """
 READER_ID_BYTES = 4
 LONGEST_QUEUE_SECONDS = 1.0
-"""Packets that arrive while a node starts wait in its socket for it to become ready: a client would
-send them again only after 0.2 to 1.6 s. Those that waited longer are of no use to anybody.
+"""How long a starting node leaves packets in its socket's buffer until it is ready. Clients
+retransmit after 0.2 to 1.6 s, so older packets are useless: a node that is not ready by then reads
+them, and drops those that it cannot forward.
 """
 LONGEST_OPENING_WAIT_SECONDS = 0.4
-"""Opening packets that waited longer may have been answered by way of another node."""
+"""After a longer start, opening packets in the buffer are dropped: another node may have forwarded
+their retransmitted copies.
+"""
 
 
 class TokenNode:
-    """One node; `run` returns when it has stopped as planned.
+    """One node; `run` returns when a planned stop is complete.
 
-    `read_settings` is called at each reload and raises ValueError. `packets` is the bound socket of
-    clients' packets. `timeline` has what happened of the start so far.
+    `read_settings` is called at each reload and raises ValueError for a faulty file. `packets` is
+    the bound socket for clients' packets. `timeline` holds the events of the start so far.
     """
 
     def __init__(
@@ -74,7 +77,7 @@
         self.settings = settings
         self._mechanisms = mechanisms
         self._read_settings = read_settings
-        chance = self._chance = random.Random()
+        rng = self._rng = random.Random()
         self.log = EventLog(settings.node, standard_output())
         self.decisions = DecisionLog(self.log, packet_layout.describe_flow, self._view_age)
         self.start = StartLog(timeline or StartTimeline(time.monotonic()), self.decisions.life)
@@ -86,7 +89,7 @@
             reader_id,
             store_objects.CONFIGURATION_NAME,
             self.decisions,
-            chance=chance,
+            chance=rng,
             times=store_call_times(
                 min(settings.apply_seconds, settings.drain_seconds),
                 settings.contact_seconds,
@@ -101,21 +104,21 @@
             heartbeat_seconds=settings.heartbeat_seconds,
             is_seed=settings.host in settings.seeds,
         )
-        self.core.on_progress = self._note_ready
-        self.follower = StoreFollower(settings, self.core, self.decisions, chance, mechanisms)
+        self.core.on_progress = self._record_progress
+        self.follower = StoreFollower(settings, self.core, self.decisions, rng, mechanisms)
         self.limit_watch = LimitWatch(
-            self.core, settings, self._peer_traffic, self._note_limit_fault
+            self.core, settings, self._peer_traffic, self._log_limit_watch_fault
         )
         self._packets = PacketSocket(
             packets,
             self.core.router,
-            self._note_fault,
+            self._log_packet_fault,
             self._before_packets,
-            self._judge_later,
-            on_first=self.start.note,
+            self._schedule_deadline,
+            on_first=self.start.record,
         )
-        self._checker = BackendChecker(self.core.checks, settings.host, self._send_all)
-        self._judgement: asyncio.TimerHandle | None = None
+        self._checker = BackendChecker(self.core.checks, settings.host, self._send_pending)
+        self._deadline_timer: asyncio.TimerHandle | None = None
         self._responder = HttpResponder(
             {store_objects.READINESS_PATH: self._answer_readiness}, ConnectionKind.READINESS
         )
@@ -124,11 +127,11 @@
             {METRICS_PATH: self._answer_metrics}, ConnectionKind.METRICS
         )
         self.responders = (self._responder, self._metrics_responder)
-        self._began_at = time.monotonic()
+        self._started_at = time.monotonic()
         self._stop = PlannedStop(
             settings.stop_seconds,
-            self._may_go_away,
-            self._go_away,
+            self._is_stop_turn,
+            self._announce_away,
             forwards=mechanisms.forwarding_after_stop,
         )
         self._was_ready = False
@@ -139,23 +142,23 @@
         return self.core.complete and not self._stop.away
 
     def request_stop(self) -> None:
-        """Ask for a planned stop."""
+        """Begin a planned stop."""
         self.decisions.life("StopRequested", flows=len(self.core.router.flows))
         self.start.stop()
-        self._stop.ask(in_use=self._was_ready)
+        self._stop.request(in_use=self._was_ready)
         self.core.ask_to_stop(time.monotonic())
         self.follower.send()
 
-    def _may_go_away(self) -> bool:
+    def _is_stop_turn(self) -> bool:
         return self.core.may_go_away(time.monotonic())
 
-    def _go_away(self) -> None:
+    def _announce_away(self) -> None:
         self.core.go_away(time.monotonic())
         self.follower.send()
         self.decisions.life("Away", flows=len(self.core.router.flows))
 
     def reload(self) -> None:
-        """Read the settings again; a faulty file is told and changes nothing."""
+        """Read the settings again; a faulty file is logged and changes nothing."""
         try:
             settings = self._read_settings()
         except ValueError as error:
@@ -164,15 +167,15 @@
         changed = changed_fields(self.settings, settings)
         self.settings = settings
         self.follower.use_settings(settings)
-        waiting = [name for name in changed if name in FIELDS_OF_A_START]
+        deferred = [name for name in changed if name in FIELDS_OF_A_START]
         self.decisions.life(
             "SettingsReloaded",
             changed=", ".join(changed) or None,
-            takes_effect_at_next_start=", ".join(waiting) or None,
+            takes_effect_at_next_start=", ".join(deferred) or None,
         )
 
     async def run(self) -> None:
-        """Serve until a stop is asked for, then until it is complete; obey signals meanwhile."""
+        """Serve and handle signals until a requested stop is complete."""
         self._handle_signals()
         try:
             await self._serve()
@@ -181,14 +184,14 @@
 
     async def _serve(self) -> None:
         await self._responder.start(*self.settings.readiness.pair)
-        self.start.note("listening")
+        self.start.record("listening")
         await self._start_metrics()
         self.decisions.life("Started", zone=self.settings.zone)
-        self._tell_unusable_limits()
+        self._log_unusable_limits()
         jobs = (
             self.follower.run(),
             self._tick(),
-            self._take_packets_at_last(),
+            self._read_packets_when_unready(),
             self.limit_watch.run(),
         )
         tasks = [asyncio.create_task(job) for job in jobs]
@@ -204,14 +207,14 @@
     def _peer_traffic(self) -> Counter[str]:
         return Counter() if self.follower.link is None else self.follower.link.counters
 
-    def _tell_unusable_limits(self) -> None:
-        """Tell which limits of the settings are missing or absurd, if any: they count as least."""
+    def _log_unusable_limits(self) -> None:
+        """Log limits that are missing or implausible in the settings; the least value applies."""
         if self.settings.unusable_limits:
             names = ", ".join(self.settings.unusable_limits)
             self.decisions.life("LimitsUnusable", taken_as_least=names)
 
     async def _start_metrics(self) -> None:
-        """Tell figures where the settings say; a node serves without them as well."""
+        """Serve metrics if an address is configured; failure to bind it is only logged."""
         endpoint = self.settings.metrics
         if endpoint is None:
             return
@@ -220,15 +223,15 @@
         except OSError as error:
             self.decisions.dependency_lost("metrics address", str(error), 1)
 
-    async def _take_packets_at_last(self) -> None:
-        """Read packets, and count them as dropped, where the node is not ready for long."""
+    async def _read_packets_when_unready(self) -> None:
+        """Start reading packets after LONGEST_QUEUE_SECONDS even if the node is not ready."""
         await asyncio.sleep(LONGEST_QUEUE_SECONDS if self._mechanisms.waiting_packets else 0.0)
         self._packets.start()
         await asyncio.Event().wait()
 
     async def _tick(self) -> None:
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(first_tick_seconds(self._chance, self._mechanisms))
+        await asyncio.sleep(first_tick_seconds(self._rng, self._mechanisms))
         while True:
             due = loop.time() + TICK_SECONDS
             await asyncio.sleep(TICK_SECONDS)
@@ -240,36 +243,39 @@
             self.start.advance(now)
             self.log.flush()
 
-    def _send_all(self) -> None:
-        """Send what the outcome of a check leads to: resets, and word to other nodes."""
+    def _send_pending(self) -> None:
+        """Send the resets and the messages to other nodes that follow from a backend check."""
         self._packets.send_resets()
         self.follower.send()
 
-    def _judge_later(self) -> None:
-        """Judge openings and requests without an answer as soon as their time is over."""
+    def _schedule_deadline(self) -> None:
+        """Set a timer for the next opening or request whose answer deadline expires."""
         due = self.core.router.flows.next_judgement()
-        if due is not None and self._judgement is None:
-            self._judgement = asyncio.get_running_loop().call_at(due, self._judge)
+        if due is not None and self._deadline_timer is None:
+            self._deadline_timer = asyncio.get_running_loop().call_at(due, self._handle_deadline)
 
-    def _judge(self) -> None:
-        self._judgement = None
+    def _handle_deadline(self) -> None:
+        self._deadline_timer = None
         self.core.router.advance(asyncio.get_running_loop().time())
-        self._judge_later()
+        self._schedule_deadline()
 
     def _handle_signals(self) -> None:
-        """Obey signals in the loop; the loop's own way would load `inspect` before it is needed."""
+        """Handle signals in the event loop.
+
+        `loop.add_signal_handler` would import `inspect`, which a start does not need otherwise.
+        """
         loop = asyncio.get_running_loop()
-        for number, obey in (
+        for number, handler in (
             (signal.SIGTERM, self.request_stop),
             (signal.SIGINT, self.request_stop),
             (signal.SIGHUP, self.reload),
         ):
-            signal.signal(number, partial(_call_in_loop, loop, obey))
+            signal.signal(number, partial(_call_in_loop, loop, handler))
         unblock_signals()
 
     def _close(self) -> None:
-        if self._judgement is not None:
-            self._judgement.cancel()
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
         self._checker.close()
         self._packets.close()
         self._responder.close()
@@ -278,13 +284,13 @@
         self.decisions.life("Stopped")
         self.log.flush()
 
-    def _note_ready(self) -> None:
-        """Tell once that the node has become ready, and how it came to be so."""
-        self.start.note_progress(self.core)
+    def _record_progress(self) -> None:
+        """Record the progress of the start; log readiness once and start reading packets."""
+        self.start.record_progress(self.core)
         if self.ready and not self._was_ready:
             self._was_ready = True
-            self.start.note("ready")
-            if time.monotonic() - self._began_at > LONGEST_OPENING_WAIT_SECONDS:
+            self.start.record("ready")
+            if time.monotonic() - self._started_at > LONGEST_OPENING_WAIT_SECONDS:
                 self._packets.start_without_waiting_openings()
             else:
                 self._packets.start()
@@ -292,14 +298,14 @@
             self.decisions.life("Ready", version=version, backends=len(self.core.router.backends))
 
     def _before_packets(self, now: float) -> None:
-        """After a stall, let old opening packets go: see PacketSocket."""
+        """After a stall, drop the opening packets that are queued in the socket's buffer."""
         if self._mechanisms.discard_after_stall and self.core.take_stall(now):
             self._packets.discard_waiting_openings()
 
-    def _note_fault(self, error: Exception) -> None:
+    def _log_packet_fault(self, error: Exception) -> None:
         self.decisions.life("PacketFault", error=repr(error), where=_origin(error))
 
-    def _note_limit_fault(self, error: Exception) -> None:
+    def _log_limit_watch_fault(self, error: Exception) -> None:
         self.decisions.life("LimitWatchFault", error=repr(error), where=_origin(error))
 
     def _view_age(self) -> float | None:
@@ -312,16 +318,16 @@
         return HttpAnswer(200, render(make_registry(partial(read_metrics, self))))
 
     def _answer_readiness(self) -> HttpAnswer:
-        self.start.note("readiness_asked")
+        self.start.record("readiness_asked")
         if self.ready:
-            self.start.note("readiness_answered")
+            self.start.record("readiness_answered")
             return HttpAnswer(200, b"ready\n")
-        self._stop.note_miss(asyncio.get_running_loop().time())
+        self._stop.record_miss(asyncio.get_running_loop().time())
         return HttpAnswer(503, b"not ready\n")
 
 
 def _evacuation_times(settings: TokenNodeSettings, mechanisms: Mechanisms) -> StoreCallTimes | None:
-    """Return the times for evacuations; None where operators cannot ask for them."""
+    """Return the times for evacuations; None if the settings do not provide for them."""
     if settings.evacuate_seconds is None:
         return None
     return evacuation_store_call_times(
@@ -329,20 +335,20 @@
     )
 
 
-def first_tick_seconds(chance: random.Random, mechanisms: Mechanisms) -> float:
-    """Return how long after its start a node's ticks begin."""
-    return chance.uniform(0.0, TICK_SECONDS) if mechanisms.spread_ticks else 0.0
+def first_tick_seconds(rng: random.Random, mechanisms: Mechanisms) -> float:
+    """Return the delay before a node's ticks begin."""
+    return rng.uniform(0.0, TICK_SECONDS) if mechanisms.spread_ticks else 0.0
 
 
 def _call_in_loop(
-    loop: asyncio.AbstractEventLoop, obey: Callable[[], None], _number: int, _frame: object
+    loop: asyncio.AbstractEventLoop, handler: Callable[[], None], _number: int, _frame: object
 ) -> None:
-    """Handle a signal: wake the loop, which calls `obey` between two other callbacks."""
-    loop.call_soon_threadsafe(obey)
+    """Schedule `handler` in the event loop, as the handler of a signal."""
+    loop.call_soon_threadsafe(handler)
 
 
 def _origin(error: BaseException) -> str:
-    """Return file and line at which an error was raised."""
+    """Return the file and line that raised an error."""
     trace = error.__traceback__
     while trace is not None and trace.tb_next is not None:
         trace = trace.tb_next
