--- a/src/beamloom/bench/scale.py
+++ b/src/beamloom/bench/scale.py
@@ -59,8 +59,8 @@
         began = time.perf_counter()
         with shared_structures():
             self.fleet.build()
-            chance = self.fleet.random("open flows")
-            fill_flow_tables(list(self.fleet.nodes.values()), self.options, chance, 0.0)
+            rng = self.fleet.random("open flows")
+            fill_flow_tables(list(self.fleet.nodes.values()), self.options, rng, 0.0)
             self.feed.start()
             built = time.perf_counter() - began
             self.fleet.clock.run_until(self.options.warm_up)
--- a/src/beamloom/bench/scale_failures.py
+++ b/src/beamloom/bench/scale_failures.py
@@ -22,9 +22,9 @@
     older one.
     """
 
-    def __init__(self, fleet: HollowFleet, chance: random.Random) -> None:
+    def __init__(self, fleet: HollowFleet, rng: random.Random) -> None:
         self._fleet = fleet
-        self._random = chance
+        self._rng = rng
         self._join_seconds: list[float] = []
         self._joins = 0
         self._crashed = 0
@@ -52,7 +52,7 @@
 
     def _crash_some(self, count: int) -> None:
         names = [NodeId(node.name) for node in self._fleet.running()]
-        chosen = self._random.sample(names, min(count, len(names) - 1))
+        chosen = self._rng.sample(names, min(count, len(names) - 1))
         self._crash(chosen)
 
     def _crash(self, names: list[NodeId]) -> None:
--- a/src/beamloom/bench/scale_single.py
+++ b/src/beamloom/bench/scale_single.py
@@ -83,13 +83,13 @@
         route.current_table  # noqa: B018 - building is what is asked for
 
 
-def _enter_flows(core: NodeCore, count: int, chance: random.Random) -> None:
+def _enter_flows(core: NodeCore, count: int, rng: random.Random) -> None:
     home = core.forwarder.home
     partitions = sorted(home.ownership.owned)
     routes = list(home.routes.by_service_number.values())
     for _ in range(count):
-        key = (chance.getrandbits(46) << 14) | chance.choice(partitions)
-        service = chance.choice(routes)
+        key = (rng.getrandbits(46) << 14) | rng.choice(partitions)
+        service = rng.choice(routes)
         home.enter(key, home.choose(key, service, 0.0), service, FlowFlag.PAYLOAD_SENT, 0.0)
 
 
--- a/src/beamloom/bench/scale_traffic.py
+++ b/src/beamloom/bench/scale_traffic.py
@@ -46,13 +46,13 @@
         nodes: dict[NodeId, HollowNode],
         options: ScaleOptions,
         hash_key: bytes,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.opened = 0
         self._clock = clock
         self._nodes = nodes
         self._options = options
-        self._random = chance
+        self._rng = rng
         self._seed = flow_seed(hash_key, PROTOCOL_TCP)
         self._virtual_ips = [pack_address(service_address(i)) for i in range(options.services)]
         self._due: list[tuple[float, int, bytes, int, bytes, int]] = []
@@ -78,7 +78,7 @@
         self._clock.call_later(FEED_SECONDS, self._feed)
 
     def _open(self) -> None:
-        draw = self._random
+        draw = self._rng
         client, port = draw.randbytes(4), draw.randint(FIRST_PORT, LAST_PORT)
         virtual_ip = draw.choice(self._virtual_ips)
         self.opened += 1
@@ -97,7 +97,7 @@
 
     def _send(self, client: bytes, port: int, virtual_ip: bytes, flags: int) -> None:
         """Let a random node relay a packet to the flow's home, as that node sees it."""
-        relay = self._nodes[self._random.choice(self._names)]
+        relay = self._nodes[self._rng.choice(self._names)]
         ports = struct.pack("!HH", port, SERVICE_PORT)
         partition = partition_of(flow_key(client + virtual_ip + ports, self._seed))
         home = relay.core.core.forwarder.ownership.deciders[partition]
@@ -112,7 +112,7 @@
 
 
 def fill_flow_tables(
-    nodes: Sequence[HollowNode], options: ScaleOptions, chance: random.Random, now: float
+    nodes: Sequence[HollowNode], options: ScaleOptions, rng: random.Random, now: float
 ) -> None:
     """Enter the flows that are open already, at their homes, for services that may repeat.
 
@@ -130,8 +130,8 @@
         if not partitions or not routes:
             continue
         for _ in range(per_node):
-            key = (chance.getrandbits(46) << 14) | chance.choice(partitions)
-            service = chance.choice(routes)
+            key = (rng.getrandbits(46) << 14) | rng.choice(partitions)
+            service = rng.choice(routes)
             number = service.current_table.first[slot_of(key)]
             choice = Choice(number, PlacementReason.BASE_GENERATION)
             home.enter(key, choice, service, FlowFlag.PAYLOAD_SENT, now)
--- a/src/beamloom/cli/run.py
+++ b/src/beamloom/cli/run.py
@@ -107,11 +107,11 @@
     cold_seconds: Annotated[float, Parameter(help="How long it is slow after its start.")] = 0.0,
 ) -> None:
     """Run a stand-in backend; SIGTERM drains it, and it ends when it is idle."""
-    chance = random.Random()
+    rng = random.Random()
     begin = asyncio.get_running_loop().time()
     options = BackendOptions(cold_seconds=cold_seconds)
-    model = BackendModel(name, parse_virtual_address(service), chance, begin, options)
-    process = BackendProcess(model, chance, [parse_address(text) for text in balancers])
+    model = BackendModel(name, parse_virtual_address(service), rng, begin, options)
+    process = BackendProcess(model, rng, [parse_address(text) for text in balancers])
     async with stop_signal() as stop:
         await process.start(parse_address(address), parse_address(health))
         try:
--- a/src/beamloom/demo/fleet.py
+++ b/src/beamloom/demo/fleet.py
@@ -135,8 +135,8 @@
     async def _start_backend(
         self, stack: AsyncExitStack, key: str, service: VirtualAddress
     ) -> None:
-        chance = random.Random(f"{self._seed}/{key}")
-        process = BackendProcess(BackendModel(key, service, chance), chance)
+        rng = random.Random(f"{self._seed}/{key}")
+        process = BackendProcess(BackendModel(key, service, rng), rng)
         await process.start(ANY_ADDRESS, ANY_ADDRESS)
         stack.push_async_callback(process.stop)
         self.backends[key] = process
@@ -222,10 +222,10 @@
         self, resources: AsyncExitStack, process: BalancerProcess, machine: Machine
     ) -> None:
         """Give a balancer its store client and its health checks."""
-        chance = random.Random(f"{self._seed}/{machine.node_id}")
+        rng = random.Random(f"{self._seed}/{machine.node_id}")
         client = PlatformClient(
             PlatformOptions(f"http://{self._platform_address}", TOKEN),
-            Retrier(RetryPolicy(), chance),
+            Retrier(RetryPolicy(), rng),
         )
         await client.start()
         resources.push_async_callback(client.close)
--- a/src/beamloom/fuzzing/subjects/store.py
+++ b/src/beamloom/fuzzing/subjects/store.py
@@ -64,9 +64,9 @@
     def __init__(self) -> None:
         self._clock = VirtualClock()
         self._store = PlatformStore(random.Random(1))
-        chance = random.Random(2)
+        rng = random.Random(2)
         client = SimulatedStoreClient(self._store)
-        self._writer = OperatorWriter(client, chance, Retrier(RetryPolicy(), chance, sleep))
+        self._writer = OperatorWriter(client, rng, Retrier(RetryPolicy(), rng, sleep))
         self._writes: list[_Write] = []
         self._history = _History()
         self._known_revision = 0
--- a/src/beamloom/node/token_core.py
+++ b/src/beamloom/node/token_core.py
@@ -78,7 +78,7 @@
         configuration_name: str,
         observer: BeliefObserver,
         *,
-        chance: random.Random,
+        rng: random.Random,
         times: StoreCallTimes,
         placement: PlacementSettings | None = None,
         mechanisms: Mechanisms = ALL_MECHANISMS,
@@ -92,7 +92,7 @@
         self._mechanisms = mechanisms
         self._cold_starts = None if cold_starts is None else ColdStartGate(cold_starts)
         self.router = TokenRouter(
-            Placement(zone, placement or PlacementSettings(), chance, self._cold_starts),
+            Placement(zone, placement or PlacementSettings(), rng, self._cold_starts),
             observer.decision,
             moves_copies=mechanisms.other_backend_for_copies,
             leaves_zones=mechanisms.other_zone_for_copies,
@@ -102,24 +102,22 @@
         self.router.backends.use_services(frozenset(), 0.0)
         self._failure_handler = BackendJudge(self.router, observer, mechanisms)
         self.checks = self._failure_handler.checks
-        self.role = ReaderRole(reader_id, chance, times, mechanisms)
+        self.role = ReaderRole(reader_id, rng, times, mechanisms)
         self.backends: StoreView[BackendRecord] = StoreView(BackendOrder(heartbeat_seconds))
         self.configuration: StoreView[RoutingConfiguration] = StoreView(ConfigurationOrder())
         # Never starts from a stale list: after a store outage backends register again one by one,
         # and the few on an old list would get all flows.
-        self.backend_watch = ObjectWatch(self.backends, chance)
+        self.backend_watch = ObjectWatch(self.backends, rng)
         self.configuration_watch = ObjectWatch(
-            self.configuration, chance, stale_start=mechanisms.stale_start
-        )
-        self.backend_schedule = StoreCallSchedule(self.backend_watch, self.role, chance, 0)
-        self.configuration_schedule = StoreCallSchedule(
-            self.configuration_watch, self.role, chance, 1
+            self.configuration, rng, stale_start=mechanisms.stale_start
         )
+        self.backend_schedule = StoreCallSchedule(self.backend_watch, self.role, rng, 0)
+        self.configuration_schedule = StoreCallSchedule(self.configuration_watch, self.role, rng, 1)
         self.evacuations: EvacuationFollower | None = None
         if evacuation_times is not None:
             self.evacuations = EvacuationFollower(
                 self.role,
-                chance,
+                rng,
                 evacuation_times,
                 known_zones,
                 depends_on=self.backend_watch,
@@ -136,7 +134,7 @@
         self.on_progress: Callable[[], None] = lambda: None
         self._configuration_name = configuration_name
         self._observer = observer
-        self._rng = chance
+        self._rng = rng
         self._zone = zone
         self._capacity = capacity
         self._cold_start_share: FleetShare | None = None
--- a/src/beamloom/object_api/operator.py
+++ b/src/beamloom/object_api/operator.py
@@ -97,14 +97,14 @@
 
 
 class OperatorWriter:
-    """Creates, updates and deletes objects; `random` must be unpredictable across operators.
+    """Creates, updates and deletes objects; `rng` must be unpredictable across operators.
 
     In production pass `random.SystemRandom()`: two operators must not draw the same operation id.
     """
 
-    def __init__(self, client: ObjectClient, random: Random, retrier: Retrier) -> None:
+    def __init__(self, client: ObjectClient, rng: Random, retrier: Retrier) -> None:
         self._client = client
-        self._random = random
+        self._rng = rng
         self._retrier = retrier
 
     async def create_object(self, key: str, value: dict[str, Any]) -> AcceptedWrite:
@@ -147,7 +147,7 @@
     def _attempt(
         self, key: str, value: dict[str, Any], base: StoredObject | None, base_revision: int
     ) -> WriteAttempt:
-        operation_id = f"{self._random.getrandbits(OPERATION_ID_BITS):032x}"
+        operation_id = f"{self._rng.getrandbits(OPERATION_ID_BITS):032x}"
         named = {**value, OPERATION_FIELD: operation_id}
         return WriteAttempt(key, operation_id, named, base, base_revision)
 
--- a/src/beamloom/object_api/retry.py
+++ b/src/beamloom/object_api/retry.py
@@ -23,18 +23,18 @@
 
 
 class Retrier:
-    """Draws the pauses between tries; `random` and `sleep` are handed in."""
+    """Draws the pauses between tries; `rng` and `sleep` are handed in."""
 
-    def __init__(self, policy: RetryPolicy, random: Random, sleep: Sleep = asyncio.sleep) -> None:
+    def __init__(self, policy: RetryPolicy, rng: Random, sleep: Sleep = asyncio.sleep) -> None:
         self.policy = policy
-        self._random = random
+        self._rng = rng
         self._sleep = sleep
 
     def pauses(self) -> Iterator[float]:
         """Yield the pause before each further try; one fewer than the tries allowed."""
         for attempt in range(self.policy.attempts - 1):
             ceiling = min(self.policy.cap_seconds, self.policy.base_seconds * 2**attempt)
-            yield self._random.uniform(0.0, ceiling)
+            yield self._rng.uniform(0.0, ceiling)
 
     async def pause(self, seconds: float) -> None:
         """Wait before the next try."""
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -89,7 +89,7 @@
             reader_id,
             store_objects.CONFIGURATION_NAME,
             self.decisions,
-            chance=rng,
+            rng=rng,
             times=store_call_times(
                 min(settings.apply_seconds, settings.drain_seconds),
                 settings.contact_seconds,
--- a/src/beamloom/simulation/fleet.py
+++ b/src/beamloom/simulation/fleet.py
@@ -96,8 +96,8 @@
         for site in self.options.sites:
             for key, value in initial_objects(site):
                 self.store.write(key, value, 0)
-            chance = self.random("fabric", site.region)
-            self.edges[site.region] = ClientEdge(self.clock, self.network, site, chance)
+            rng = self.random("fabric", site.region)
+            self.edges[site.region] = ClientEdge(self.clock, self.network, site, rng)
             for service in site.services:
                 for index in range(1, service.backend_count + 1):
                     self._place_backend(site, service, index)
@@ -170,14 +170,14 @@
         self, site: Site, service: ServiceShape, index: int, cold_seconds: float = 0.0
     ) -> BackendSite:
         placed = backend_site(site, service, index)
-        chance = self.random("backend", placed.backend_id)
+        rng = self.random("backend", placed.backend_id)
         edge = self.edges[site.region]
         options = BackendOptions(
             service_time=uniform_service_time(self.options.document_seconds),
             cold_seconds=cold_seconds,
         )
         backend = SimulatedBackend(
-            self.clock, self.network, placed, edge=edge, chance=chance, options=options
+            self.clock, self.network, placed, edge=edge, rng=rng, options=options
         )
         self.backends[placed.backend_id] = backend
         self._health.add(backend)
--- a/src/beamloom/simulation/network.py
+++ b/src/beamloom/simulation/network.py
@@ -69,9 +69,9 @@
 class Network:
     """Carries datagrams between attached sockets."""
 
-    def __init__(self, clock: VirtualClock, links: Iterable[Link], stream: random.Random) -> None:
+    def __init__(self, clock: VirtualClock, links: Iterable[Link], rng: random.Random) -> None:
         self._clock = clock
-        self._random = stream
+        self._rng = rng
         self._links = {}
         for link in links:
             self._links[link.first_zone, link.second_zone] = link
@@ -110,7 +110,7 @@
         self, path: _Path, source: SocketAddress, destination: SocketAddress, data: bytes
     ) -> None:
         condition = path.condition
-        draw = self._random.random
+        draw = self._rng.random
         if draw() < condition.loss:
             self.counters["lost"] += 1
             return
--- a/src/beamloom/simulation/operators.py
+++ b/src/beamloom/simulation/operators.py
@@ -66,10 +66,10 @@
 class Operators:
     """Runs operators' writes; every outcome is kept."""
 
-    def __init__(self, clock: VirtualClock, store: PlatformStore, chance: random.Random) -> None:
+    def __init__(self, clock: VirtualClock, store: PlatformStore, rng: random.Random) -> None:
         self._clock = clock
         client = SimulatedStoreClient(store)
-        self.writer = OperatorWriter(client, chance, Retrier(RetryPolicy(), chance, sleep))
+        self.writer = OperatorWriter(client, rng, Retrier(RetryPolicy(), rng, sleep))
         self.accepted: list[AcceptedWrite] = []
         self.refused: list[PlatformError] = []
 
--- a/src/beamloom/simulation/scenario.py
+++ b/src/beamloom/simulation/scenario.py
@@ -23,7 +23,7 @@
     faults: FaultInjector
     workload: Workload
     duration: float
-    random: random.Random
+    rng: random.Random
 
     def at(self, share: float, act: Callable[[], object]) -> None:
         """Call `act` when `share` (0 to 1) of the run's duration has passed."""
@@ -31,7 +31,7 @@
 
     def any_node(self) -> str:
         """Draw the name of a balancer that runs and is not leaving."""
-        return self.random.choice(self.fleet.running_nodes()).name
+        return self.rng.choice(self.fleet.running_nodes()).name
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/beamloom/simulation/scenarios/failures.py
+++ b/src/beamloom/simulation/scenarios/failures.py
@@ -38,7 +38,7 @@
 
 
 def _zone_loss(context: ScenarioContext) -> None:
-    zone = context.random.choice(VAKATALE.zone_names)
+    zone = context.rng.choice(VAKATALE.zone_names)
     context.at(0.3, partial(context.operations.drain_backend, "tracker-2"))
     context.at(0.4, partial(context.faults.lose_zone, zone))
 
--- a/src/beamloom/simulation/scenarios/platform.py
+++ b/src/beamloom/simulation/scenarios/platform.py
@@ -56,7 +56,7 @@
     """Pause a balancer that holds a lease, or any one where none does."""
     leases = context.fleet.store.list_objects(LEASE_PREFIX).objects
     holders = [name for name in map(_holder, leases) if name in context.fleet.nodes]
-    name = context.random.choice(holders) if holders else context.any_node()
+    name = context.rng.choice(holders) if holders else context.any_node()
     context.faults.pause_node(name, duration)
 
 
--- a/src/beamloom/simulation/scenarios/storm.py
+++ b/src/beamloom/simulation/scenarios/storm.py
@@ -32,37 +32,37 @@
 
 
 def _pause(context: ScenarioContext) -> None:
-    context.faults.pause_node(context.any_node(), context.random.uniform(0.5, 30.0))
+    context.faults.pause_node(context.any_node(), context.rng.uniform(0.5, 30.0))
 
 
 def _slow(context: ScenarioContext) -> None:
-    context.faults.slow_node(context.any_node(), 0.005, context.random.uniform(5.0, 20.0))
+    context.faults.slow_node(context.any_node(), 0.005, context.rng.uniform(5.0, 20.0))
 
 
 def _isolate(context: ScenarioContext) -> None:
-    context.faults.isolate_node(context.any_node(), context.random.uniform(1.0, 30.0))
+    context.faults.isolate_node(context.any_node(), context.rng.uniform(1.0, 30.0))
 
 
 def _deafen(context: ScenarioContext) -> None:
-    context.faults.deafen_node(context.any_node(), context.random.uniform(1.0, 30.0))
+    context.faults.deafen_node(context.any_node(), context.rng.uniform(1.0, 30.0))
 
 
 def _disturb(context: ScenarioContext) -> None:
     condition = PathCondition(loss=0.02, duplication=0.02, reordering=0.05, jitter=0.002)
-    context.faults.disturb_network(condition, context.random.uniform(5.0, 30.0))
+    context.faults.disturb_network(condition, context.rng.uniform(5.0, 30.0))
 
 
 def _drift(context: ScenarioContext) -> None:
-    rate = 1.0 + context.random.uniform(-MAXIMUM_DRIFT, MAXIMUM_DRIFT)
+    rate = 1.0 + context.rng.uniform(-MAXIMUM_DRIFT, MAXIMUM_DRIFT)
     context.faults.drift_clock(context.any_node(), rate)
 
 
 def _lose_store(context: ScenarioContext) -> None:
-    context.faults.disturb_store(FaultPlan(down=True), context.random.uniform(5.0, 40.0))
+    context.faults.disturb_store(FaultPlan(down=True), context.rng.uniform(5.0, 40.0))
 
 
 def _slow_store(context: ScenarioContext) -> None:
-    context.faults.disturb_store(FaultPlan(delay_seconds=2.0), context.random.uniform(5.0, 30.0))
+    context.faults.disturb_store(FaultPlan(delay_seconds=2.0), context.rng.uniform(5.0, 30.0))
 
 
 def _lose_answers(context: ScenarioContext) -> None:
@@ -70,13 +70,13 @@
 
 
 def _mislead(context: ScenarioContext) -> None:
-    index = context.random.randint(1, TRACKER.backend_count)
+    index = context.rng.randint(1, TRACKER.backend_count)
     context.faults.mislead_health(f"{TRACKER.name}-{index}", HealthFaults(load=0.0))
 
 
 def _change_setting(context: ScenarioContext) -> None:
-    bound = round(context.random.uniform(0.02, 0.3), 3)
-    context.operations.change_setting(context.random.choice(SCOPES[1:]), SETTING, bound)
+    bound = round(context.rng.uniform(0.02, 0.3), 3)
+    context.operations.change_setting(context.rng.choice(SCOPES[1:]), SETTING, bound)
 
 
 def _drain(context: ScenarioContext) -> None:
@@ -84,11 +84,11 @@
     names = [f"{TRACKER.name}-{index}" for index in range(1, TRACKER.backend_count + 1)]
     remaining = [name for name in names if name not in drained]
     if len(remaining) > 2:
-        context.operations.drain_backend(context.random.choice(remaining))
+        context.operations.drain_backend(context.rng.choice(remaining))
 
 
 def _add_backend(context: ScenarioContext) -> None:
-    context.operations.add_backend(VAKATALE, TRACKER, context.random.choice((0.0, 20.0)))
+    context.operations.add_backend(VAKATALE, TRACKER, context.rng.choice((0.0, 20.0)))
 
 
 def _start(context: ScenarioContext) -> None:
@@ -117,10 +117,10 @@
 
 
 def _storm(context: ScenarioContext) -> None:
-    for _ in range(context.random.randint(*EVENT_COUNTS)):
-        act = context.random.choice(ACTS)
-        share = context.random.uniform(0.12, 0.85)
-        for _ in range(context.random.choice((1, 1, 1, 2))):
+    for _ in range(context.rng.randint(*EVENT_COUNTS)):
+        act = context.rng.choice(ACTS)
+        share = context.rng.uniform(0.12, 0.85)
+        for _ in range(context.rng.choice((1, 1, 1, 2))):
             context.at(share, partial(act, context))
 
 
--- a/src/beamloom/simulation/simulation.py
+++ b/src/beamloom/simulation/simulation.py
@@ -96,8 +96,8 @@
             duration=self.duration,
         )
         edges = list(self.fleet.edges.values())
-        chance = self.fleet.random("workload")
-        return Workload(self.fleet.clock, edges, options, chance, self.seen.flows.append)
+        rng = self.fleet.random("workload")
+        return Workload(self.fleet.clock, edges, options, rng, self.seen.flows.append)
 
     def _observe_fleet(self) -> None:
         for backend_id, backend in self.fleet.backends.items():
--- a/src/beamloom/simulation/tokens/node.py
+++ b/src/beamloom/simulation/tokens/node.py
@@ -156,7 +156,7 @@
             reader_id,
             CONFIGURATION_NAME,
             self.observer,
-            chance=rng,
+            rng=rng,
             times=store_call_times(),
             evacuation_times=evacuation_store_call_times(EVACUATE_SECONDS),
             mechanisms=mechanisms,
--- a/src/beamloom/simulation/traffic.py
+++ b/src/beamloom/simulation/traffic.py
@@ -29,10 +29,10 @@
 def uniform_service_time(document_seconds: float) -> ServiceTime:
     """Return service times drawn evenly round a mean, without the C library's logarithm."""
 
-    def draw(request: Request, chance: random.Random) -> float:
+    def draw(request: Request, rng: random.Random) -> float:
         document = request.kind is RequestKind.DOCUMENT
         mean = document_seconds if document else document_seconds * UPDATE_SHARE
-        return mean * 2 * chance.random()
+        return mean * 2 * rng.random()
 
     return draw
 
@@ -77,13 +77,13 @@
     """The clients of one site, behind the edge of the fabric that sprays their packets."""
 
     def __init__(
-        self, clock: VirtualClock, network: Network, site: Site, chance: random.Random
+        self, clock: VirtualClock, network: Network, site: Site, rng: random.Random
     ) -> None:
         self.site = site
         self.host = Host(clock, f"clients-{site.region}", site.client_zone)
         self.fabric_address = SocketAddress(f"10.{site.number}.250.1", DATA_PORT)
         self.clients = ClientHost()
-        self.fabric = FabricModel(chance)
+        self.fabric = FabricModel(rng)
         self._clock = clock
         self._network = network
         self._timer = PollTimer(clock, self.host, self.clients.next_timer, self._poll)
@@ -125,7 +125,7 @@
         placed: BackendSite,
         *,
         edge: ClientEdge,
-        chance: random.Random,
+        rng: random.Random,
         options: BackendOptions,
     ) -> None:
         self.placed = placed
@@ -133,14 +133,14 @@
         self.model = BackendModel(
             placed.backend_id,
             placed.service.virtual_address,
-            chance,
+            rng,
             clock.now,
             options,
         )
         self._clock = clock
         self._network = network
         self._edge = edge
-        self._chance = chance
+        self._rng = rng
         self._timer = PollTimer(clock, self.host, self.model.next_timer, self._poll)
         network.attach(placed.data_address, self.host, self._received)
 
@@ -166,7 +166,7 @@
         balancers = self._edge.fabric.balancers
         for packet in packets:
             if balancers:
-                destination = self._chance.choice(balancers)
+                destination = self._rng.choice(balancers)
                 source = self.placed.data_address
                 self._network.send(self.host, source, destination, packet)
         self._timer.arm()
--- a/src/beamloom/simulation/workload.py
+++ b/src/beamloom/simulation/workload.py
@@ -45,12 +45,12 @@
         clock: VirtualClock,
         edges: list[ClientEdge],
         options: WorkloadOptions,
-        chance: random.Random,
+        rng: random.Random,
         observe: Callable[[ObservedFlow], None],
     ) -> None:
         self._clock = clock
         self._options = options
-        self._random = chance
+        self._rng = rng
         self._observe = observe
         self._flow_number = 0
         self._targets = [(edge, service) for edge in edges for service in edge.site.services]
@@ -60,19 +60,19 @@
 
     def _schedule_streams(self) -> None:
         for _ in range(self._options.flows):
-            delay = FIRST_FLOW_AT + self._random.random() * RAMP_SECONDS
+            delay = FIRST_FLOW_AT + self._rng.random() * RAMP_SECONDS
             edge, service = self._draw_target()
             self._clock.call_later(delay, self.open_stream, edge, service)
 
     def _schedule_requests(self) -> None:
         rate = self._options.requests_per_second
         for number in range(int(rate * max(self._options.duration - FIRST_FLOW_AT, 0.0))):
-            time = FIRST_FLOW_AT + (number + self._random.random()) / rate
+            time = FIRST_FLOW_AT + (number + self._rng.random()) / rate
             edge, service = self._draw_target()
             self._clock.call_at(time, self.send_request, edge, service)
 
     def _draw_target(self) -> tuple[ClientEdge, ServiceShape]:
-        return self._random.choices(self._targets, self._weights)[0]
+        return self._rng.choices(self._targets, self._weights)[0]
 
     def target(self, tenant: str) -> tuple[ClientEdge, ServiceShape]:
         """Return the first service of a tenant and the edge that its clients use."""
@@ -88,7 +88,7 @@
             interval=self._options.update_interval,
             size=UPDATE_SIZE,
         )
-        flow = StreamFlow(options, self._random)
+        flow = StreamFlow(options, self._rng)
         self._start(edge, flow, ObservedFlow(service.service_id, flow.truth))
 
     def send_request(self, edge: ClientEdge, service: ServiceShape) -> None:
@@ -107,7 +107,7 @@
         )
         over_udp = service.protocol is TransportProtocol.UDP
         flow_type = UdpRequestFlow if over_udp else RequestFlow
-        flow = flow_type(options, self._random)
+        flow = flow_type(options, self._rng)
         observed = ObservedFlow(service.service_id, flow.truth, flow_id, service.repeatable)
         self._start(edge, flow, observed)
 
--- a/src/beamloom/standins/backend_model.py
+++ b/src/beamloom/standins/backend_model.py
@@ -46,10 +46,10 @@
 REMEMBERED_UDP_ANSWERS = 10_000
 
 
-def default_service_time(request: Request, chance: random.Random) -> float:
+def default_service_time(request: Request, rng: random.Random) -> float:
     """Return exponential service times, in seconds: 5 ms for a document, 0.5 ms for an update."""
     mean = 0.005 if request.kind is RequestKind.DOCUMENT else 0.0005
-    return chance.expovariate(1.0 / mean)
+    return rng.expovariate(1.0 / mean)
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
         self,
         backend_id: str,
         service: VirtualAddress,
-        chance: random.Random,
+        rng: random.Random,
         started_at: float = 0.0,
         options: BackendOptions | None = None,
     ) -> None:
@@ -109,7 +109,7 @@
         self.draining = False
         self.options = options or BackendOptions()
         self.health_reporter = HealthReporter()
-        self._chance = chance
+        self._rng = rng
         self._started_at = started_at
         self._local = SocketAddress(service.ip, service.port)
         self._peers: dict[SocketAddress, _Peer] = {}
@@ -217,7 +217,7 @@
             self._packets.append(build_packet(reset_for(packet, text)))
             return None
         connection = TcpConnection(
-            self._local, packet.source, self._chance.getrandbits(32), self.options.tcp
+            self._local, packet.source, self._rng.getrandbits(32), self.options.tcp
         )
         connection.accept(packet, now)
         peer = _Peer(packet.source, connection, last_heard=now)
@@ -299,7 +299,7 @@
             self._answer_not_run(job.request, job.owner, AnswerStatus.REFUSED, now)
 
     def _service_time(self, request: Request, now: float) -> float:
-        seconds = self.options.service_time(request, self._chance)
+        seconds = self.options.service_time(request, self._rng)
         cold = now < self._started_at + self.options.cold_seconds
         return seconds * self.options.cold_factor if cold else seconds
 
--- a/src/beamloom/standins/backend_process.py
+++ b/src/beamloom/standins/backend_process.py
@@ -49,12 +49,12 @@
     def __init__(
         self,
         model: BackendModel,
-        chance: random.Random,
+        rng: random.Random,
         balancers: Sequence[SocketAddress] = (),
     ) -> None:
         self.model = model
         self.balancers = list(balancers)
-        self._chance = chance
+        self._rng = rng
         self._latest_sender: SocketAddress | None = None
         self._socket: UdpSocket | None = None
         self._health: HttpServer | None = None
@@ -110,7 +110,7 @@
 
     def _send(self, packets: list[bytes]) -> None:
         for data in packets:
-            balancer = self._chance.choice(self.balancers) if self.balancers else None
+            balancer = self._rng.choice(self.balancers) if self.balancers else None
             destination = balancer or self._latest_sender
             if destination is not None and self._socket is not None:
                 self._socket.send(data, destination)
--- a/src/beamloom/standins/fabric_model.py
+++ b/src/beamloom/standins/fabric_model.py
@@ -73,14 +73,14 @@
 
     def __init__(
         self,
-        chance: random.Random,
+        rng: random.Random,
         options: FabricOptions | None = None,
         balancers: Sequence[SocketAddress] = (),
         clients: Mapping[str, SocketAddress] | None = None,
     ) -> None:
         self.options = options or FabricOptions()
         self.counters = FabricCounters()
-        self._chance = chance
+        self._rng = rng
         self._balancers = tuple(balancers)
         self._clients = dict(clients or {})
         self._turn = count()
@@ -146,7 +146,7 @@
     def _choose(self) -> SocketAddress:
         if self.options.spray is Spray.ROUND_ROBIN:
             return self._balancers[next(self._turn) % len(self._balancers)]
-        return self._chance.choice(self._balancers)
+        return self._rng.choice(self._balancers)
 
     def _with_faults(self, delivery: Delivery, now: float) -> list[Delivery]:
         if self._happens(self.options.loss):
@@ -163,4 +163,4 @@
         return copies
 
     def _happens(self, share: float) -> bool:
-        return share > 0 and self._chance.random() < share
+        return share > 0 and self._rng.random() < share
--- a/src/beamloom/standins/platform_faults.py
+++ b/src/beamloom/standins/platform_faults.py
@@ -37,10 +37,10 @@
 
 
 class StoreFaults:
-    """The faults in force; chance comes from the handed-in `random`."""
+    """The faults in force, drawn with the given `rng`."""
 
-    def __init__(self, random: Random) -> None:
-        self._random = random
+    def __init__(self, rng: Random) -> None:
+        self._rng = rng
         self._plan = FaultPlan()
 
     @property
@@ -64,4 +64,4 @@
             self._plan = replace(self._plan, lost_answers=self._plan.lost_answers - 1)
             return True
         probability = self._plan.lost_answer_probability
-        return probability > 0 and self._random.random() < probability
+        return probability > 0 and self._rng.random() < probability
--- a/src/beamloom/standins/platform_store.py
+++ b/src/beamloom/standins/platform_store.py
@@ -51,13 +51,13 @@
 
     def __init__(
         self,
-        random: Random,
+        rng: Random,
         *,
         history_limit: int = DEFAULT_HISTORY_LIMIT,
         watch_limit: int = DEFAULT_WATCH_LIMIT,
         machines: MachineDirectory | None = None,
     ) -> None:
-        self.faults = StoreFaults(random)
+        self.faults = StoreFaults(rng)
         self.machines = machines or MachineDirectory()
         self._watch_limit = watch_limit
         self._objects: dict[str, StoredObject] = {}
--- a/tests/functional/test_standins.py
+++ b/tests/functional/test_standins.py
@@ -102,12 +102,12 @@
         async def scenario(fleet: Fleet) -> None:
             client = ClientProcess(fleet.fabric.client_address)
             await client.open()
-            chance = random.Random(3)
+            rng = random.Random(3)
             first, second = SocketAddress("192.0.2.1", 9), SocketAddress("2001:db8::1", 9)
             flows = [
-                RequestFlow(RequestOptions("a", first, TRACKER, "a", size=30_000), chance),
-                RequestFlow(RequestOptions("b", second, LABELLER, "b", size=30_000), chance),
-                UdpRequestFlow(RequestOptions("c", first, RESOLVER, "c", size=3_000), chance),
+                RequestFlow(RequestOptions("a", first, TRACKER, "a", size=30_000), rng),
+                RequestFlow(RequestOptions("b", second, LABELLER, "b", size=30_000), rng),
+                UdpRequestFlow(RequestOptions("c", first, RESOLVER, "c", size=3_000), rng),
             ]
             truths = await asyncio.gather(*(client.run(flow) for flow in flows))
             client.close()
--- a/tests/measurements/backend_status.py
+++ b/tests/measurements/backend_status.py
@@ -32,7 +32,7 @@
 
     def __init__(self, fleet: Fleet, factor: float, *, drift: bool) -> None:
         self.fleet = fleet
-        self.random = random.Random(5)
+        self.rng = random.Random(5)
         self.rate = factor / DAY
         self.drift = drift
         self.numbers = [b.backend_number for s in fleet.services for b in s.backends]
@@ -43,24 +43,24 @@
     def answer(self, node_id: NodeId, number: int, now: float) -> BackendChecked | None:
         if self.down.get(number, 0.0) > now:
             return None
-        load = 0.5 + self.random.gauss(0.0, 0.05)
+        load = 0.5 + self.rng.gauss(0.0, 0.05)
         if self.drift:
             load += 0.3 * math.sin(2 * math.pi * (now / 3600 + number * 0.618))
         return BackendChecked(number, True, False, load, 0.005)
 
     def step(self) -> None:
-        if self.random.random() < 21 * self.rate:
+        if self.rng.random() < 21 * self.rate:
             self._replace("node_failures")
-        if self.random.random() < 1300 * self.rate:
+        if self.rng.random() < 1300 * self.rate:
             self._replace("node_restarts")
-        if self.random.random() < 1300 * self.rate:
+        if self.rng.random() < 1300 * self.rate:
             self.events["backend_restarts"] += 1
-            number = self.random.choice(self.numbers)
+            number = self.rng.choice(self.numbers)
             self.down[number] = self.fleet.now + RESTART_SECONDS
 
     def _replace(self, kind: str) -> None:
         self.events[kind] += 1
-        self.fleet.remove(self.random.choice(list(self.fleet.nodes)))
+        self.fleet.remove(self.rng.choice(list(self.fleet.nodes)))
         self.fleet.add(self.next_index)
         self.next_index += 1
 
--- a/tests/measurements/configuration.py
+++ b/tests/measurements/configuration.py
@@ -63,10 +63,10 @@
     fleet.run(20.0)
     for node in fleet.nodes.values():
         node.cpu = 0.0
-    started, chance = fleet.now, random.Random(seed)
+    started, rng = fleet.now, random.Random(seed)
     accepted: dict[int, float] = {}
     for number in range(changes):
-        value = backend(number % 5, chance.getrandbits(64))
+        value = backend(number % 5, rng.getrandbits(64))
         accepted[fleet.write_tracked(f"backend/t/s/b{number % 5}", value)] = fleet.now
         fleet.run(PAUSE_BETWEEN_CHANGES)
     fleet.check_states()
--- a/tests/measurements/exchange_bytes.py
+++ b/tests/measurements/exchange_bytes.py
@@ -172,9 +172,9 @@
     network: CountingNetwork, readers: list[Node], numbers: list[int], revision: int
 ) -> None:
     steps = round(EVENT_SECONDS / STEP_SECONDS)
-    chance = random.Random(7)
+    rng = random.Random(7)
     events = [
-        (chance.randrange(steps), number) for number in numbers for _ in range(CHANGES_OF_A_START)
+        (rng.randrange(steps), number) for number in numbers for _ in range(CHANGES_OF_A_START)
     ]
     for step in range(steps):
         changed = sorted({number for at, number in events if at == step})
--- a/tests/unit/routing/test_balanced_requests.py
+++ b/tests/unit/routing/test_balanced_requests.py
@@ -25,7 +25,7 @@
 from tests.unit.standin_network import CLIENT, Network, make_backend
 
 SERVICE = VirtualAddress(SERVICE_IP, TransportProtocol.TCP, PORT)
-SLOW = BackendOptions(slots=1, queue_limit=8, service_time=lambda request, chance: 5.0)
+SLOW = BackendOptions(slots=1, queue_limit=8, service_time=lambda request, rng: 5.0)
 DEADLINE = 2.0
 TICK = 0.1
 
--- a/tests/unit/test_core_borders.py
+++ b/tests/unit/test_core_borders.py
@@ -47,7 +47,7 @@
             "from random import choice",
             "random.choice(x)",
             "np.random.default_rng()",
-            "chance = random.Random()",
+            "rng = random.Random()",
             "open('x')",
         ):
             with self.subTest(source=source):
--- a/tests/unit/tokens/builders.py
+++ b/tests/unit/tokens/builders.py
@@ -159,7 +159,7 @@
         "5-node",
         "main",
         QuietObserver(),
-        chance=random.Random(1),
+        rng=random.Random(1),
         times=store_call_times(),
         mechanisms=mechanisms,
         evacuation_times=evacuation_times,
--- a/tests/unit/tokens/test_token_core.py
+++ b/tests/unit/tokens/test_token_core.py
@@ -99,7 +99,7 @@
     def test_first_list_of_backends_is_not_stale(self) -> None:
         """After a store outage a stale list may hold only a few of the backends."""
         times, observer = store_call_times(), QuietObserver()
-        core = TokenCore(ZONE, "5-node", "main", observer, chance=random.Random(1), times=times)
+        core = TokenCore(ZONE, "5-node", "main", observer, rng=random.Random(1), times=times)
         self.assertEqual(core.backend_watch.next_request(), ListRequest(""))
         self.assertEqual(core.configuration_watch.next_request(), ListRequest("", stale=True))
 
--- a/tools/every_kind.py
+++ b/tools/every_kind.py
@@ -185,8 +185,8 @@
             return _print_table(arguments, site, _play_standard_days(arguments, path))
         wanted = [trouble for trouble in _open_troubles(site) if arguments.only in trouble.text]
         if arguments.pairs:
-            chance = random.Random(arguments.seed)
-            days = list(_pairs(path, wanted, arguments.pairs, chance))
+            rng = random.Random(arguments.seed)
+            days = list(_pairs(path, wanted, arguments.pairs, rng))
         else:
             days = [(trouble.label, _twice(path, trouble)) for trouble in wanted]
         with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
@@ -268,13 +268,13 @@
 
 
 def _pairs(
-    site: Path, troubles: list[Trouble], count: int, chance: random.Random
+    site: Path, troubles: list[Trouble], count: int, rng: random.Random
 ) -> Iterator[tuple[str, str]]:
     """Yield pairs drawn by chance that overlap: the second strikes within 3 s of the first."""
     for _ in range(count):
-        first, second = chance.sample(troubles, 2)
-        later = round(FIRST_AT + chance.uniform(0.0, 3.0), 2)
-        again = round(SECOND_AT + chance.uniform(0.0, 3.0), 2)
+        first, second = rng.sample(troubles, 2)
+        later = round(FIRST_AT + rng.uniform(0.0, 3.0), 2)
+        again = round(SECOND_AT + rng.uniform(0.0, 3.0), 2)
         struck = ((first, FIRST_AT), (second, later), (second, SECOND_AT), (first, again))
         yield f"{first.label}--{second.label}", _day(site, struck)
 
