--- a/src/beamloom/cli/flags.py
+++ b/src/beamloom/cli/flags.py
@@ -8,7 +8,7 @@
 
 from beamloom.model.addresses import SocketAddress, TransportProtocol, VirtualAddress
 
-LARGEST_PORT = 65_535
+MAXIMUM_PORT = 65_535
 SEPARATOR = "://"
 
 
@@ -19,7 +19,7 @@
         raise ValueError(f"{text!r} is no service address: give tcp://IP:PORT or udp://IP:PORT")
     address = parse_address(rest)
     if not address.port:
-        raise ValueError(f"{text!r} has no port: give one from 1 to {LARGEST_PORT}")
+        raise ValueError(f"{text!r} has no port: give one from 1 to {MAXIMUM_PORT}")
     return VirtualAddress(address.host, TransportProtocol[name.upper()], address.port)
 
 
@@ -29,8 +29,8 @@
         address = SocketAddress.parse(text)
     except ValueError:
         raise ValueError(f"{text!r} is no address: give IP:PORT, for example 127.0.0.1:0") from None
-    if address.port > LARGEST_PORT:
-        raise ValueError(f"{text!r}: give a port of at most {LARGEST_PORT}")
+    if address.port > MAXIMUM_PORT:
+        raise ValueError(f"{text!r}: give a port of at most {MAXIMUM_PORT}")
     return address
 
 
--- a/src/beamloom/node/backend_judge.py
+++ b/src/beamloom/node/backend_judge.py
@@ -24,7 +24,7 @@
 """How long after a report a failing backend is excluded from new flows."""
 RELAPSE_SECONDS = 4.0
 """A failure within this time after the end of an exclusion counts as a relapse."""
-MAX_EXCLUSION_DOUBLINGS = 2
+MAXIMUM_EXCLUSION_DOUBLINGS = 2
 """Each relapse doubles the exclusion, up to this many times (8 s)."""
 UNSAFE_AVOIDANCE_SECONDS = 3.0
 """How long non-repeatable requests prefer other backends after one node saw a sign of failure."""
@@ -130,11 +130,11 @@
             self._observer.backend_failing(failing.record)
 
     def _relapse_count(self, backend: Backend, now: float) -> int:
-        """Return the number of relapses in a row, at most MAX_EXCLUSION_DOUBLINGS."""
+        """Return the number of relapses in a row, at most MAXIMUM_EXCLUSION_DOUBLINGS."""
         if backend.failing_until >= now or not self._mechanisms.longer_relapses:
             return backend.failing_spells
         relapsed = now - backend.failing_until < RELAPSE_SECONDS
-        return min(backend.failing_spells + 1, MAX_EXCLUSION_DOUBLINGS) if relapsed else 0
+        return min(backend.failing_spells + 1, MAXIMUM_EXCLUSION_DOUBLINGS) if relapsed else 0
 
     def _handle_failure_report(self, name: str, since: float) -> None:
         """Keep non-repeatable requests from a backend after a report of any single node.
--- a/src/beamloom/node/record_orders.py
+++ b/src/beamloom/node/record_orders.py
@@ -12,7 +12,7 @@
 from beamloom.routing.tokens.records import BackendRecord, RoutingConfiguration, ZoneEvacuation
 from beamloom.settings.token_node import DEFAULT_HEARTBEAT_SECONDS
 
-MAX_MISSED_HEARTBEATS = 3
+MAXIMUM_MISSED_HEARTBEATS = 3
 """After so many heartbeats without a write, the platform removes a backend's entry."""
 ERA_DETECTION_SPREAD_SECONDS = 0.5
 """How far apart nodes and the store may notice a change of the era."""
@@ -33,7 +33,7 @@
 
     def __init__(self, heartbeat_seconds: float = DEFAULT_HEARTBEAT_SECONDS) -> None:
         self.retention_seconds = (
-            MAX_MISSED_HEARTBEATS * heartbeat_seconds + ERA_DETECTION_SPREAD_SECONDS
+            MAXIMUM_MISSED_HEARTBEATS * heartbeat_seconds + ERA_DETECTION_SPREAD_SECONDS
         )
 
     def is_older(self, incoming: BackendRecord, known: BackendRecord) -> bool:
--- a/src/beamloom/node/token_core.py
+++ b/src/beamloom/node/token_core.py
@@ -49,7 +49,7 @@
 
 Longer than a reachable store or peer takes to confirm a view.
 """
-MAX_FAULTY_ROUTES_LOGGED = 20
+MAXIMUM_FAULTY_ROUTES_LOGGED = 20
 """Routes with unreadable terms that are logged per configuration; the counter counts all terms."""
 LATE_SECONDS = 0.4
 """Gap between calls of `advance` above which this node reports no backend as silent or overdue."""
@@ -386,5 +386,5 @@
         count = sum(len(route.terms.unreadable) for route in faulty)
         if count:
             self.router.counters["terms_unreadable"] += count
-        for route in faulty[:MAX_FAULTY_ROUTES_LOGGED]:
+        for route in faulty[:MAXIMUM_FAULTY_ROUTES_LOGGED]:
             self._observer.terms_unreadable(route.name, record.version, route.terms.unreadable)
--- a/src/beamloom/node/view_codecs.py
+++ b/src/beamloom/node/view_codecs.py
@@ -52,7 +52,7 @@
 """Number of fields of terms that were all readable; the names of unreadable ones follow."""
 REQUEST_KINDS = (RequestKind.UNSAFE, RequestKind.SAFE, RequestKind.DOWNLOAD)
 """The index of each is its number on the wire; new kinds are added at the end."""
-MAX_BASES = 8
+MAXIMUM_BASES = 8
 """Versions that a node offers as bases; under frequent changes nodes skip different versions."""
 
 
@@ -110,7 +110,7 @@
     @property
     def bases(self) -> list[int]:
         """The last versions that this node holds, the newest first."""
-        return self._history.newest_versions(MAX_BASES)
+        return self._history.newest_versions(MAXIMUM_BASES)
 
     def choose_base(self, bases: Sequence[int]) -> int:
         """Return the first of a peer's versions that this node holds as well, or NEVER."""
--- a/src/beamloom/platform/deploy_file.py
+++ b/src/beamloom/platform/deploy_file.py
@@ -8,7 +8,7 @@
 MARK_OF_DEPLOY_FILE = "roles"
 """A table that only this kind of file has; it identifies the kind."""
 SERVABLE = frozenset({"front", "control"})
-MAX_ROLES = 2
+MAXIMUM_ROLES = 2
 
 
 def deploy_faults(document: Mapping[str, Any]) -> list[str]:
@@ -19,8 +19,10 @@
     roles = document.get("roles")
     if not isinstance(roles, Mapping) or not roles:
         return [*faults, "roles is empty: add a table [roles.NAME]"]
-    if len(roles) > MAX_ROLES:
-        faults.append(f"{len(roles)} roles: give at most {MAX_ROLES}, as a machine runs no more")
+    if len(roles) > MAXIMUM_ROLES:
+        faults.append(
+            f"{len(roles)} roles: give at most {MAXIMUM_ROLES}, as a machine runs no more"
+        )
     served: list[str] = []
     for name, role in roles.items():
         faults.extend(f"roles.{name}: {fault}" for fault in _role_faults(role))
--- a/src/beamloom/replication/answer_budget.py
+++ b/src/beamloom/replication/answer_budget.py
@@ -15,7 +15,7 @@
 """Upper bound on the rate, however fast the link is."""
 BURST_SECONDS = 0.5
 """Size of the bucket in seconds of the rate, as changes come in bursts."""
-MOST_REFERRALS = 3
+MAXIMUM_REFERRALS = 3
 """A request referred this often is answered even if the bucket is empty."""
 MAXIMUM_DEBT_SECONDS = 1.0
 """How far such answers may overdraw the bucket, in seconds of the rate. Without this bound a node
@@ -41,11 +41,12 @@
     def admits(self, attempt: int, now: float) -> bool:
         """Return whether to answer a request that was referred `attempt` times before.
 
-        With a `share` of 0, only requests referred more than `MOST_REFERRALS` times are answered:
-        otherwise nodes that alone have a change could refer a peer to each other forever.
+        With a `share` of 0, only requests that were referred more than `MAXIMUM_REFERRALS` times
+        are answered: otherwise nodes that alone have a change could refer a peer to each other
+        forever.
         """
         self._refill(now)
-        if attempt >= MOST_REFERRALS + (self.share <= 0.0):
+        if attempt >= MAXIMUM_REFERRALS + (self.share <= 0.0):
             return self._tokens > -self._rate * MAXIMUM_DEBT_SECONDS
         return self.share > 0.0 and self._tokens > 0.0
 
--- a/src/beamloom/replication/object_watch.py
+++ b/src/beamloom/replication/object_watch.py
@@ -19,7 +19,7 @@
 
 from beamloom.model.store_revision import era_of, number_of, revision_in_era
 from beamloom.replication.backoff import FullJitter
-from beamloom.replication.store_call_times import FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS
+from beamloom.replication.store_call_times import FIRST_PAUSE_SECONDS, MAXIMUM_PAUSE_SECONDS
 from beamloom.replication.store_view import NamedRecord, ObjectChange, StoreView
 
 Record = TypeVar("Record")
@@ -128,7 +128,7 @@
     ) -> None:
         self._may_be_empty = may_be_empty
         self.view = view
-        self._pauses = FullJitter(FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS, rng)
+        self._pauses = FullJitter(FIRST_PAUSE_SECONDS, MAXIMUM_PAUSE_SECONDS, rng)
         self._listing: _Listing[Record] = _Listing()
         self._history_lost = False
         self._stale_allowed = stale_start
--- a/src/beamloom/replication/reader_role.py
+++ b/src/beamloom/replication/reader_role.py
@@ -26,7 +26,7 @@
 """How long a node that has just joined waits for digests with readers before it may become one: a
 heartbeat during discovery (DISCOVERY_HEARTBEAT_SECONDS).
 """
-LONGEST_JOIN_SECONDS = 3.0
+MAXIMUM_JOIN_SECONDS = 3.0
 """A node that has not joined by then may become a reader; slow machines take a second to join."""
 OUTAGE_CALLS_PER_SECOND = 20.0
 """The approximate rate at which a whole fleet calls a store that does not answer. The first node
@@ -139,7 +139,7 @@
         if self._started_at is None:
             self._started_at = now
         if self._listens_until is None and (
-            joined or now - self._started_at > LONGEST_JOIN_SECONDS
+            joined or now - self._started_at > MAXIMUM_JOIN_SECONDS
         ):
             self._listens_until = now + READER_DISCOVERY_SECONDS
         has_failed = now - self._failed_at < self.times.silence_seconds
--- a/src/beamloom/replication/shared_secret.py
+++ b/src/beamloom/replication/shared_secret.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from beamloom.replication.backoff import FullJitter
-from beamloom.replication.store_call_times import FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS
+from beamloom.replication.store_call_times import FIRST_PAUSE_SECONDS, MAXIMUM_PAUSE_SECONDS
 
 
 class SecretStep(Enum):
@@ -49,7 +49,7 @@
         self.step = first_step
         self.found_none = False
         self.era: int | None = None
-        self._pauses = FullJitter(FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS, rng)
+        self._pauses = FullJitter(FIRST_PAUSE_SECONDS, MAXIMUM_PAUSE_SECONDS, rng)
 
     @property
     def failures(self) -> int:
--- a/src/beamloom/replication/store_call_times.py
+++ b/src/beamloom/replication/store_call_times.py
@@ -11,19 +11,19 @@
 CALL_TIMEOUT_SECONDS = 0.7
 """How long an answer may take, in addition to the wait that the call requests."""
 FIRST_PAUSE_SECONDS = 0.1
-LONGEST_PAUSE_SECONDS = 0.8
+MAXIMUM_PAUSE_SECONDS = 0.8
 """The base and the upper limit of the random pause between failing calls."""
 STALE_SPREAD_SECONDS = 0.3
 """Spreads the calls of nodes whose views become stale together; the first answer is gossiped."""
-LONGEST_STALE_SECONDS = 3.0
+MAXIMUM_STALE_SECONDS = 3.0
 """The upper limit of staleness, even if the bound allows more."""
-LONGEST_WAIT_SECONDS = 2.2
+MAXIMUM_WAIT_SECONDS = 2.2
 """The upper limit of a watch's wait: WAIT_SHARE_OF_STALE of the longest staleness, rounded down."""
-LONGEST_EVACUATION_STALE_SECONDS = 4.0
+MAXIMUM_EVACUATION_STALE_SECONDS = 4.0
 """Evacuations are rare, and a late one does no harm within its bound."""
-LONGEST_UNCONFIRMED_SECONDS = 1.6
+MAXIMUM_UNCONFIRMED_SECONDS = 1.6
 """After a start of all nodes, a reader is usually known by then."""
-LONGEST_GATHER_SECONDS = 0.6
+MAXIMUM_GATHER_SECONDS = 0.6
 GATHER_SHARE_OF_WAIT = 0.25
 """Gathered changes are delayed by up to this share of the wait."""
 WAIT_SHARE_OF_STALE = 0.75
@@ -69,8 +69,8 @@
     contact_seconds: float = DEFAULT_CONTACT_SECONDS,
     mechanisms: Mechanisms = ALL_MECHANISMS,
     *,
-    longest_stale_seconds: float = LONGEST_STALE_SECONDS,
-    longest_wait_seconds: float = LONGEST_WAIT_SECONDS,
+    longest_stale_seconds: float = MAXIMUM_STALE_SECONDS,
+    longest_wait_seconds: float = MAXIMUM_WAIT_SECONDS,
 ) -> StoreCallTimes:
     """Return the times for a bound on the delay of changes.
 
@@ -80,20 +80,20 @@
     """
     call = CALL_TIMEOUT_SECONDS + STALE_SPREAD_SECONDS
     stale = min(longest_stale_seconds, bound_seconds - call)
-    hanging = contact_seconds - 2 * CALL_TIMEOUT_SECONDS - LONGEST_PAUSE_SECONDS
+    hanging = contact_seconds - 2 * CALL_TIMEOUT_SECONDS - MAXIMUM_PAUSE_SECONDS
     wait = min(longest_wait_seconds, WAIT_SHARE_OF_STALE * stale, hanging)
     wait = max(MINIMUM_SECONDS, wait)
     stale = max(MINIMUM_SECONDS, stale)
-    gather = min(LONGEST_GATHER_SECONDS, GATHER_SHARE_OF_WAIT * wait)
+    gather = min(MAXIMUM_GATHER_SECONDS, GATHER_SHARE_OF_WAIT * wait)
     return StoreCallTimes(
         wait_seconds=wait,
         stale_seconds=stale,
         silence_seconds=2 * wait + 0.2,
-        unconfirmed_seconds=min(LONGEST_UNCONFIRMED_SECONDS, stale),
+        unconfirmed_seconds=min(MAXIMUM_UNCONFIRMED_SECONDS, stale),
         gather_seconds=gather if mechanisms.gathering else 0.0,
         overdue_seconds=wait + OVERDUE_SHARE * (stale - wait),
         late_seconds=wait + LATE_SHARE * (stale - wait),
-        outage_pause_seconds=max(LONGEST_PAUSE_SECONDS, hanging),
+        outage_pause_seconds=max(MAXIMUM_PAUSE_SECONDS, hanging),
     )
 
 
@@ -110,7 +110,7 @@
         evacuate_seconds,
         contact_seconds,
         mechanisms,
-        longest_stale_seconds=LONGEST_EVACUATION_STALE_SECONDS,
-        longest_wait_seconds=WAIT_SHARE_OF_STALE * LONGEST_EVACUATION_STALE_SECONDS,
+        longest_stale_seconds=MAXIMUM_EVACUATION_STALE_SECONDS,
+        longest_wait_seconds=WAIT_SHARE_OF_STALE * MAXIMUM_EVACUATION_STALE_SECONDS,
     )
     return times._replace(unconfirmed_seconds=max(times.unconfirmed_seconds, times.wait_seconds))
--- a/src/beamloom/replication/view_pulls.py
+++ b/src/beamloom/replication/view_pulls.py
@@ -14,7 +14,7 @@
 
 from beamloom.protocol.messages import Message
 from beamloom.protocol.view_messages import NEVER, AskElsewhere, ViewPart, ViewRequest
-from beamloom.replication.answer_budget import MOST_REFERRALS, AnswerBudget
+from beamloom.replication.answer_budget import MAXIMUM_REFERRALS, AnswerBudget
 from beamloom.replication.peer_table import PeerTable
 from beamloom.replication.pull_choice import PendingRequest, PullChoice
 from beamloom.replication.shared_view import SharedView
@@ -137,21 +137,21 @@
     def handle_referral(self, host: str, message: AskElsewhere, now: float) -> None:
         """Follow a peer's referral to other hosts, or ask that peer again if none is usable.
 
-        After more than MOST_REFERRALS hops the next request waits for the timeout of this one.
+        After more than MAXIMUM_REFERRALS hops the next request waits for the timeout of this one.
         """
         pending = self.choice.pending.get(message.view)
         if pending is None or pending.host != host:
             return
         self._counters["referred"] += 1
         self.choice.note_busy(host, now)
-        if pending.attempt > MOST_REFERRALS:
+        if pending.attempt > MAXIMUM_REFERRALS:
             self.choice.pending[message.view] = pending._replace(refused=True)
             return
         named = tuple(name for name in message.hosts if name != self._peers.host)
         other = self.choice.choose(message.view, NEVER, now, named) if named else ""
         lacking = self._views[message.view].revision + 1
         other = other or self.choice.choose(message.view, lacking, now)
-        attempt = pending.attempt + 1 if other else max(pending.attempt + 1, MOST_REFERRALS)
+        attempt = pending.attempt + 1 if other else max(pending.attempt + 1, MAXIMUM_REFERRALS)
         self._ask(PendingRequest(other or host, attempt), message.view, now)
 
     def answer(self, host: str, request: ViewRequest, now: float) -> None:
--- a/src/beamloom/routing/tokens/answer_pace.py
+++ b/src/beamloom/routing/tokens/answer_pace.py
@@ -12,10 +12,10 @@
 
 SMOOTHING_FACTOR = 0.25
 """Minimum weight of a new answer in the moving average."""
-MIN_SAMPLES = 3
-MIN_SLOWDOWN = 2.0
+MINIMUM_SAMPLES = 3
+MINIMUM_SLOWDOWN = 2.0
 """Answer times vary: a backend below this ratio does not count as slow."""
-MAX_SLOWDOWN = 3.0
+MAXIMUM_SLOWDOWN = 3.0
 HALF_LIFE_SECONDS = 2.0
 """Half-life of the slowdown since the last answer, as a slow backend gets few requests."""
 
@@ -32,8 +32,8 @@
 
     @property
     def has_enough_samples(self) -> bool:
-        """Whether the average is based on at least MIN_SAMPLES answers."""
-        return self.count >= MIN_SAMPLES
+        """Whether the average is based on at least MINIMUM_SAMPLES answers."""
+        return self.count >= MINIMUM_SAMPLES
 
     def note(self, seconds: float, now: float) -> None:
         """Add the time of one answer to the average."""
@@ -46,8 +46,8 @@
         """Return the factor by which the backend is slower than typical; 1 if it is not slow."""
         if not self.has_enough_samples or typical_seconds <= 0:
             return 1.0
-        ratio = min(MAX_SLOWDOWN, self.seconds / typical_seconds)
-        if ratio < MIN_SLOWDOWN:
+        ratio = min(MAXIMUM_SLOWDOWN, self.seconds / typical_seconds)
+        if ratio < MINIMUM_SLOWDOWN:
             return 1.0
         half_lives = (now - self.updated_at) / HALF_LIFE_SECONDS
         return 1.0 + (ratio - 1.0) * math.pow(0.5, half_lives)
--- a/src/beamloom/routing/tokens/answer_sizes.py
+++ b/src/beamloom/routing/tokens/answer_sizes.py
@@ -9,15 +9,15 @@
 
 from collections import deque
 
-MAX_KEPT_ANSWERS = 64
-MIN_ANSWERS = 32
+MAXIMUM_KEPT_ANSWERS = 64
+MINIMUM_ANSWERS = 32
 THRESHOLD_UPDATE_ANSWERS = 16
 """Number of answers between updates of the threshold, as sorting costs processor time."""
 LOW_QUANTILE = 0.2
 """If a larger share of answers are errors, a short answer does not point to a single backend."""
 SHORT_ANSWER_FRACTION = 0.5
 """An answer shorter than this fraction of the quantile is unusually short."""
-MAX_DESTINATIONS = 1024
+MAXIMUM_DESTINATIONS = 1024
 
 
 class _SizeHistory:
@@ -27,14 +27,14 @@
 
     def __init__(self) -> None:
         self.count = 0
-        self.sizes_bytes: deque[int] = deque(maxlen=MAX_KEPT_ANSWERS)
+        self.sizes_bytes: deque[int] = deque(maxlen=MAXIMUM_KEPT_ANSWERS)
         self.threshold_bytes = 0.0
 
     def note(self, size_bytes: int) -> None:
         """Add the size of an answer, and update the threshold if it is due."""
         self.sizes_bytes.append(size_bytes)
         self.count += 1
-        if self.count >= MIN_ANSWERS and self.count % THRESHOLD_UPDATE_ANSWERS == 0:
+        if self.count >= MINIMUM_ANSWERS and self.count % THRESHOLD_UPDATE_ANSWERS == 0:
             ordered = sorted(self.sizes_bytes)
             self.threshold_bytes = SHORT_ANSWER_FRACTION * ordered[int(LOW_QUANTILE * len(ordered))]
 
@@ -49,7 +49,7 @@
         """Add the size of an answer, or of its beginning; return whether it is unusually short."""
         history = self._by_destination.get(destination)
         if history is None:
-            if len(self._by_destination) >= MAX_DESTINATIONS:
+            if len(self._by_destination) >= MAXIMUM_DESTINATIONS:
                 return False
             history = self._by_destination[destination] = _SizeHistory()
         history.note(size_bytes)
--- a/src/beamloom/routing/tokens/backend_fields.py
+++ b/src/beamloom/routing/tokens/backend_fields.py
@@ -22,7 +22,7 @@
 """An octet has 8 bits."""
 SLOT_LIMIT = 1 << 16
 """Exceeds the number of concurrent requests of any backend."""
-MAX_WARM_UP_MILLISECONDS = 3_600_000
+MAXIMUM_WARM_UP_MILLISECONDS = 3_600_000
 """One hour; longer warm-ups are rejected as implausible."""
 INTEGER_LIMIT = 1 << 53
 """JSON implementations agree on integers below this (RFC 8259, section 6)."""
@@ -102,7 +102,7 @@
     value = fields.get("warm_up")
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise BackendFieldError("warm_up", value)
-    if not 0 <= value <= MAX_WARM_UP_MILLISECONDS:
+    if not 0 <= value <= MAXIMUM_WARM_UP_MILLISECONDS:
         raise BackendFieldError("warm_up", value)
     return value / MILLISECONDS
 
--- a/src/beamloom/routing/tokens/backend_table.py
+++ b/src/beamloom/routing/tokens/backend_table.py
@@ -15,8 +15,8 @@
 from beamloom.routing.tokens.token import bucket_of_identity, bucket_of_token
 
 SWEEP_SECONDS = 1.0
-MAX_SUSPECTED_FRACTION = 1 / 3
-MAX_FAILING_FRACTION = 1 / 5
+MAXIMUM_SUSPECTED_FRACTION = 1 / 3
+MAXIMUM_FAILING_FRACTION = 1 / 5
 """Limits of the share of a service that is avoided, as the other backends must take its load."""
 GONE_BACKEND_SECONDS = 75.0
 """How long a backend that the store stopped listing is kept: longer than a flow (60 s)."""
@@ -180,7 +180,7 @@
     def note_failing(self, name: str, since: float, now: float, until: float) -> Backend | None:
         """Avoid a backend that answers with errors; return it if it was not avoided before.
 
-        At most MAX_FAILING_FRACTION of a service is avoided: more failures have another cause.
+        At most MAXIMUM_FAILING_FRACTION of a service is avoided: more failures have another cause.
         """
         backend = self.find_alive_since(name, since)
         if backend is None or backend.failing_until >= until:
@@ -188,7 +188,7 @@
         is_new = backend.failing_until < now
         peers = [other for other in self.of_service(backend.record.service) if other.takes_flows]
         failing = sum(other.failing_until >= now for other in peers if other is not backend)
-        if failing + 1 > MAX_FAILING_FRACTION * len(peers):
+        if failing + 1 > MAXIMUM_FAILING_FRACTION * len(peers):
             return None
         backend.failing_until = until
         return backend if is_new else None
@@ -213,7 +213,7 @@
     def suspect(self, name: str, since: float, until: float) -> Backend | None:
         """Avoid a backend for new flows until `until`; return it if that is later than before.
 
-        Nothing changes if it has answered since the report. At most MAX_SUSPECTED_FRACTION of a
+        Nothing changes if it has answered since the report. At most MAXIMUM_SUSPECTED_FRACTION of a
         service is avoided: if more are silent, there is another cause, and the remaining backends
         would be overloaded.
         """
@@ -222,7 +222,7 @@
             return None
         peers = [other for other in self.of_service(backend.record.service) if other.takes_flows]
         suspected = sum(other.suspect_until > since for other in peers if other is not backend)
-        if suspected + 1 > MAX_SUSPECTED_FRACTION * len(peers):
+        if suspected + 1 > MAXIMUM_SUSPECTED_FRACTION * len(peers):
             return None
         backend.suspect_until = until
         return backend
--- a/src/beamloom/routing/tokens/configuration_history.py
+++ b/src/beamloom/routing/tokens/configuration_history.py
@@ -12,7 +12,7 @@
 
 from beamloom.routing.tokens.records import RouteRecord, RoutingConfiguration, ServiceWarmUp
 
-MAX_KEPT_VERSIONS = 32
+MAXIMUM_KEPT_VERSIONS = 32
 """Exceeds the number of changes within the seconds in which a version reaches all nodes."""
 
 
@@ -86,7 +86,7 @@
         if newest is not None:
             configuration = _with_shared_routes(configuration, self._versions[newest])
         self._versions[configuration.version] = configuration
-        while len(self._versions) > MAX_KEPT_VERSIONS:
+        while len(self._versions) > MAXIMUM_KEPT_VERSIONS:
             del self._versions[min(self._versions)]
 
     def find(self, version: int) -> RoutingConfiguration | None:
--- a/src/beamloom/routing/tokens/flow_observer.py
+++ b/src/beamloom/routing/tokens/flow_observer.py
@@ -28,7 +28,7 @@
 """Fraction of the opening timeout after which a backend is checked. A check is made earlier because
 it does not count as a failure of the backend.
 """
-MAX_OPENING_TIMEOUT_SECONDS = 1.2
+MAXIMUM_OPENING_TIMEOUT_SECONDS = 1.2
 """Clients give up on an opening after 1.4 s."""
 SEQUENCE_MASK = 0xFFFF_FFFF
 """Sequence numbers have 32 bits (the platform's packets)."""
@@ -37,7 +37,7 @@
 repeat a request after 0.2 s, so this client has probably got a reset, from the backend's host or
 from a later owner of its address.
 """
-MAX_SUSPICION_DOUBLINGS = 3
+MAXIMUM_SUSPICION_DOUBLINGS = 3
 SUSPECT_AFTER_FAILURES = 2
 STALLED_AFTER_REPEATS = 2
 """Clients repeat a request after 0.2, 0.6 and 1.4 s; the second repetition shows 0.6 s without an
@@ -265,7 +265,7 @@
 
     def _extend_opening_timeout(self, seconds: float) -> None:
         """Extend the opening timeout, as an opening was answered `seconds` after it was sent."""
-        longer = min(MAX_OPENING_TIMEOUT_SECONDS, 2 * seconds)
+        longer = min(MAXIMUM_OPENING_TIMEOUT_SECONDS, 2 * seconds)
         self.opening_timeout_seconds = max(self.opening_timeout_seconds, longer)
 
     def _note_unanswered(self, key: bytes, flow: ObservedFlow, now: float) -> None:
@@ -277,7 +277,7 @@
         backend.pending -= 1
         backend.failures += 1
         if backend.failures >= SUSPECT_AFTER_FAILURES:
-            doublings = min(backend.failures - SUSPECT_AFTER_FAILURES, MAX_SUSPICION_DOUBLINGS)
+            doublings = min(backend.failures - SUSPECT_AFTER_FAILURES, MAXIMUM_SUSPICION_DOUBLINGS)
             backend.suspect_until = now + SUSPECT_SECONDS * 2**doublings
         suspect = backend.suspect_until > now
         self.on_unanswered(backend, now)
--- a/src/beamloom/routing/tokens/liveness.py
+++ b/src/beamloom/routing/tokens/liveness.py
@@ -13,13 +13,13 @@
 
 from beamloom.routing.tokens.backend_table import Backend
 
-MAX_CONCURRENT_CHECKS = 8
+MAXIMUM_CONCURRENT_CHECKS = 8
 """Each check uses a file descriptor and processor time."""
-MAX_QUEUED_CHECKS = 256
+MAXIMUM_QUEUED_CHECKS = 256
 """Exceeds the backends in two zones of the largest simulated deployments."""
 RECHECK_SECONDS = 0.5
 """Initial time until a backend is checked again; doubled by each check with the same result."""
-MAX_RECHECK_SECONDS = 2.0
+MAXIMUM_RECHECK_SECONDS = 2.0
 """Bounds the time until a backend that can be reached again gets new flows."""
 ZONE_WINDOW_SECONDS = 1.0
 ZONE_DOWN_BACKENDS = 3
@@ -81,9 +81,9 @@
         backend.next_check_at = now + RECHECK_SECONDS
         if backend.gone_at is not None:
             self._watched[name] = backend
-        if len(self._running) < MAX_CONCURRENT_CHECKS:
+        if len(self._running) < MAXIMUM_CONCURRENT_CHECKS:
             self._start(backend, now)
-        elif len(self._queued) < MAX_QUEUED_CHECKS:
+        elif len(self._queued) < MAXIMUM_QUEUED_CHECKS:
             self._queued[name] = backend
 
     def watch(self, backend: Backend, now: float) -> None:
@@ -132,7 +132,7 @@
         self.begin(backend)
 
     def _start_next(self, now: float) -> None:
-        while self._queued and len(self._running) < MAX_CONCURRENT_CHECKS:
+        while self._queued and len(self._running) < MAXIMUM_CONCURRENT_CHECKS:
             backend = self._queued.pop(next(iter(self._queued)))
             if not backend.forgotten and not backend.ended:
                 self._start(backend, now)
@@ -159,7 +159,7 @@
         self.on_down(backend, outcome, now)
 
     def _schedule_recheck(self, backend: Backend, now: float) -> None:
-        interval = min(MAX_RECHECK_SECONDS, RECHECK_SECONDS * 2**backend.repeated_outcomes)
+        interval = min(MAXIMUM_RECHECK_SECONDS, RECHECK_SECONDS * 2**backend.repeated_outcomes)
         backend.repeated_outcomes = min(backend.repeated_outcomes + 1, 8)
         backend.next_check_at = now + interval
 
--- a/src/beamloom/routing/tokens/placement.py
+++ b/src/beamloom/routing/tokens/placement.py
@@ -18,10 +18,10 @@
 from beamloom.routing.tokens.records import DEFAULT_TERMS, BackendState, RouteTerms
 from beamloom.settings.mechanisms import ALL_MECHANISMS, Mechanisms
 
-MAX_GONE_GRACE_SECONDS = 2.0
+MAXIMUM_GONE_GRACE_SECONDS = 2.0
 PROPAGATION_SECONDS = 1.0
 """Upper estimate of the time until a change of a backend reaches a node."""
-MIN_UNDOUBTED_FRACTION = 0.5
+MINIMUM_UNDOUBTED_FRACTION = 0.5
 """If a smaller fraction of the candidates is free of doubt, doubt is ignored: its cause is then
 probably load, and the few other backends could not take all flows.
 """
@@ -46,7 +46,7 @@
 
     other_zone_surcharge: float = 0.5
     open_flow_load: float = 0.05
-    gone_grace_seconds: float = MAX_GONE_GRACE_SECONDS
+    gone_grace_seconds: float = MAXIMUM_GONE_GRACE_SECONDS
     weighs_load: bool = True
     avoids_suspects: bool = True
     weighs_pace: bool = True
@@ -58,7 +58,7 @@
     drain_seconds: float, mechanisms: Mechanisms = ALL_MECHANISMS
 ) -> PlacementSettings:
     """Return the settings where a leaving backend must get no new flows after `drain_seconds`."""
-    grace = min(MAX_GONE_GRACE_SECONDS, drain_seconds - PROPAGATION_SECONDS)
+    grace = min(MAXIMUM_GONE_GRACE_SECONDS, drain_seconds - PROPAGATION_SECONDS)
     settings = PlacementSettings(
         gone_grace_seconds=max(0.0, grace) if mechanisms.gone_grace else 0.0,
         weighs_load=mechanisms.observed_load,
@@ -146,7 +146,7 @@
         undoubted = [backend for backend in answering if backend.doubted_until <= now]
         if len(undoubted) == len(answering):
             return answering
-        if len(undoubted) < MIN_UNDOUBTED_FRACTION * len(answering):
+        if len(undoubted) < MINIMUM_UNDOUBTED_FRACTION * len(answering):
             self.counters["doubted_not_spared"] += 1
             return answering
         self.counters["doubted_spared"] += 1
--- a/src/beamloom/routing/tokens/route_table.py
+++ b/src/beamloom/routing/tokens/route_table.py
@@ -6,7 +6,7 @@
 
 from beamloom.routing.tokens.records import RoutePart, RouteRecord, RoutingConfiguration
 
-MAX_INITIAL_TURNS = 64
+MAXIMUM_INITIAL_TURNS = 64
 """Exceeds the period of the round robin for most weights."""
 
 
@@ -21,7 +21,7 @@
         self.record = record
         self._credit = {part.service: 0.0 for part in record.parts}
         if len(record.parts) > 1:
-            for _ in range(rng.randrange(MAX_INITIAL_TURNS)):
+            for _ in range(rng.randrange(MAXIMUM_INITIAL_TURNS)):
                 self.next_parts()
 
     def next_parts(self) -> list[RoutePart]:
--- a/src/beamloom/routing/tokens/router.py
+++ b/src/beamloom/routing/tokens/router.py
@@ -39,7 +39,7 @@
 from beamloom.routing.tokens.route_table import ActiveRoute, RouteTable
 from beamloom.routing.tokens.token import NO_TOKEN, TokenCodec
 
-MIN_COPY_INTERVAL_SECONDS = 0.15
+MINIMUM_COPY_INTERVAL_SECONDS = 0.15
 """A copy of an opening packet that arrives sooner goes to the same backend. Clients send copies
 after 0.2 s at the earliest, so both packets waited in a socket. If two backends answered, the
 client would combine the token of one with the sequence numbers of the other.
@@ -54,7 +54,7 @@
 COPIES_PER_OPENING = 2
 """Clients send copies of an opening packet after 0.2 and 0.6 s (the platform's protocol)."""
 
-MAX_PENDING_RESETS = 65536
+MAXIMUM_PENDING_RESETS = 65536
 """Exceeds the number of flows of a node. When the queue is full, the oldest reset is discarded; its
 client gets a reset in answer to its next packet.
 """
@@ -93,7 +93,7 @@
         self.routes = RouteTable(placement.rng)
         self.backends = BackendTable()
         self.flows = FlowObserver(on_decision)
-        self.resets: deque[ResetFlow] = deque(maxlen=MAX_PENDING_RESETS)
+        self.resets: deque[ResetFlow] = deque(maxlen=MAXIMUM_PENDING_RESETS)
         self.backends.on_ended = self._reset_flows_of_ended
         self._on_decision = on_decision
         self.counters: Counter[str] = Counter()
@@ -196,7 +196,7 @@
         """Return whether a copy of an opening packet goes to the same backend as the last one."""
         if flow.backend.evacuated:
             return False
-        if now - flow.placed_at < MIN_COPY_INTERVAL_SECONDS:
+        if now - flow.placed_at < MINIMUM_COPY_INTERVAL_SECONDS:
             return True
         return not self._moves_copies and flow.backend.takes_flows
 
--- a/src/beamloom/runtime/backend_check.py
+++ b/src/beamloom/runtime/backend_check.py
@@ -14,7 +14,7 @@
 from beamloom.routing.tokens.liveness import CheckOutcome, LivenessChecks
 from beamloom.runtime.connection_limits import CHECK_ATTEMPT_SECONDS, CHECK_ATTEMPTS
 
-MAX_LOOP_DELAY_SECONDS = 0.03
+MAXIMUM_LOOP_DELAY_SECONDS = 0.03
 """If the event loop ran later than this, an answer may have arrived in time but not been read."""
 
 
@@ -63,7 +63,7 @@
     except TimeoutError:
         return (
             CheckOutcome.SILENT
-            if loop.time() - due < MAX_LOOP_DELAY_SECONDS
+            if loop.time() - due < MAXIMUM_LOOP_DELAY_SECONDS
             else CheckOutcome.UNCLEAR
         )
     except (ConnectionRefusedError, ConnectionResetError):
--- a/src/beamloom/runtime/connection_limits.py
+++ b/src/beamloom/runtime/connection_limits.py
@@ -17,7 +17,7 @@
 """TCP retransmits a lost SYN only after a second or more, so a new connection is faster."""
 LIST_SECONDS = 2.0
 """First deadline of a list. A list of 500 objects takes a tenth of that on an idle store."""
-LONGEST_LIST_SECONDS = 8.0
+MAXIMUM_LIST_SECONDS = 8.0
 """Longest deadline of a list. When a large fleet starts at once, the store's link is saturated, and
 giving up and retrying would only add load.
 """
--- a/src/beamloom/runtime/fleet_secret.py
+++ b/src/beamloom/runtime/fleet_secret.py
@@ -39,7 +39,7 @@
 """Random delay of a check after a restore, so that not all nodes call the store at once. Readers
 check immediately; a node that starts meanwhile asks its peers.
 """
-MAX_SECRETS = 3
+MAXIMUM_SECRETS = 3
 """The current secret and the two before it, which still verify tokens of open flows."""
 
 _FORMAT = SecretFormat(
@@ -159,7 +159,7 @@
 
     def _set_current(self, secret: bytes) -> None:
         older = (known for known in self.known if known != secret)
-        self.known = (secret, *older)[:MAX_SECRETS]
+        self.known = (secret, *older)[:MAXIMUM_SECRETS]
 
     async def _check_store(self) -> None:
         """Read the store's secret and adopt it; create it from this node's if it is missing."""
--- a/src/beamloom/runtime/health_checks.py
+++ b/src/beamloom/runtime/health_checks.py
@@ -21,7 +21,7 @@
 
 CHECK_TIMEOUT_SECONDS = 1.0
 CONCURRENT_CHECKS = 32
-LARGEST_ANSWER_BYTES = 4096
+MAXIMUM_ANSWER_BYTES = 4096
 
 CHECK_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, ValidationError, ValueError)
 
@@ -118,10 +118,10 @@
 
 
 async def _read_bounded(response: aiohttp.ClientResponse) -> bytes:
-    """Return the body; raises ValueError if it is longer than LARGEST_ANSWER_BYTES."""
+    """Return the body; raises ValueError if it is longer than MAXIMUM_ANSWER_BYTES."""
     body: Any = b""
     async for chunk in response.content.iter_any():
         body += chunk
-        if len(body) > LARGEST_ANSWER_BYTES:
-            raise ValueError(f"more than {LARGEST_ANSWER_BYTES} bytes; answer the report only")
+        if len(body) > MAXIMUM_ANSWER_BYTES:
+            raise ValueError(f"more than {MAXIMUM_ANSWER_BYTES} bytes; answer the report only")
     return bytes(body)
--- a/src/beamloom/runtime/planned_stop.py
+++ b/src/beamloom/runtime/planned_stop.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable, Coroutine
 
 MISSES_NEEDED = 2
-SHORTEST_PROBE_GAP_SECONDS = 0.3
+MINIMUM_PROBE_GAP_SECONDS = 0.3
 """Each router probes twice a second, so answers closer together went to different routers."""
 IN_TRANSIT_SECONDS = 0.15
 """Time for packets in transit when the routers stopped using the node."""
-LONGEST_FORWARD_SECONDS = 2.5
+MAXIMUM_FORWARD_SECONDS = 2.5
 """How long to keep forwarding at most, for example if no router probes."""
 TURN_WAIT_FRACTION = 0.4
 FORWARDING_FRACTION = 0.5
@@ -48,7 +48,7 @@
         self._on_away = on_away
         self._turn_seconds = TURN_WAIT_FRACTION * grace_seconds
         forward_seconds = FORWARDING_FRACTION * grace_seconds
-        self._forward_seconds = min(LONGEST_FORWARD_SECONDS, forward_seconds)
+        self._forward_seconds = min(MAXIMUM_FORWARD_SECONDS, forward_seconds)
         self._requested = asyncio.Event()
         self._routers_left = asyncio.Event()
         self._misses = 0
@@ -63,7 +63,7 @@
 
     def record_miss(self, now: float) -> None:
         """Record a negative answer to a readiness probe; counts only while `away`."""
-        if not self.away or now - self._missed_at < SHORTEST_PROBE_GAP_SECONDS:
+        if not self.away or now - self._missed_at < MINIMUM_PROBE_GAP_SECONDS:
             return
         self._missed_at = now
         self._misses += 1
--- a/src/beamloom/runtime/secrets.py
+++ b/src/beamloom/runtime/secrets.py
@@ -13,13 +13,13 @@
 from beamloom.runtime.errors import AdminTlsError, SecretFileError
 from beamloom.settings.node_file import AdminTable, NodeSettings
 
-SMALLEST_KEY_BYTES = 32
-LARGEST_KEY_BYTES = 64
+MINIMUM_KEY_BYTES = 32
+MAXIMUM_KEY_BYTES = 64
 """BLAKE2b takes keys of at most 64 bytes (RFC 7693)."""
 
 KEY_REMEDY = (
-    f"make a file of {SMALLEST_KEY_BYTES} to {LARGEST_KEY_BYTES} random bytes, "
-    f"for example with head -c {SMALLEST_KEY_BYTES} /dev/urandom"
+    f"make a file of {MINIMUM_KEY_BYTES} to {MAXIMUM_KEY_BYTES} random bytes, "
+    f"for example with head -c {MINIMUM_KEY_BYTES} /dev/urandom"
 )
 TOKEN_REMEDY = "give a file with the token as its only line"
 
@@ -77,7 +77,7 @@
 
     def key(self, setting: str, name: str) -> bytes:
         data = self._read(setting, name, KEY_REMEDY)
-        if data is not None and not SMALLEST_KEY_BYTES <= len(data) <= LARGEST_KEY_BYTES:
+        if data is not None and not MINIMUM_KEY_BYTES <= len(data) <= MAXIMUM_KEY_BYTES:
             self._add(setting, name, f"the key has {len(data)} bytes", KEY_REMEDY)
         return data or b""
 
--- a/src/beamloom/runtime/start_timeline.py
+++ b/src/beamloom/runtime/start_timeline.py
@@ -1,7 +1,7 @@
 """The timeline of one start, from the beginning of the process to the first forwarded packet.
 
 A start is reported once, in the log and in metrics: when the first packet is forwarded, on an
-earlier stop, or after LONGEST_START_SECONDS.
+earlier stop, or after MAXIMUM_START_SECONDS.
 """
 
 from __future__ import annotations
@@ -37,9 +37,9 @@
     ]
     Outcome = Literal["forwarded", "no_packet", "not_ready", "stopped"]
 
-LONGEST_START_SECONDS = 10.0
+MAXIMUM_START_SECONDS = 10.0
 """Far longer than a start takes if the store answers; a longer one is reported as it is so far."""
-LONGEST_INTERPRETER_SECONDS = 2.0
+MAXIMUM_INTERPRETER_SECONDS = 2.0
 """Far above the processor time that the interpreter uses before the first own code. On a host whose
 process clock shows more, that clock measures something else and is ignored.
 """
@@ -71,7 +71,7 @@
 
     def is_overdue(self, now: float) -> bool:
         """Whether the start is to be reported although no packet was forwarded."""
-        return now - self.began_at >= LONGEST_START_SECONDS
+        return now - self.began_at >= MAXIMUM_START_SECONDS
 
     def end(self, *, stopped: bool = False) -> dict[str, FieldValue] | None:
         """End the start and update its metrics; return the log fields, or None if it had ended."""
@@ -153,7 +153,7 @@
     The process began earlier by that processor time; any time that the interpreter waited for a
     processor is not included.
     """
-    known = 0.0 < processor_seconds <= LONGEST_INTERPRETER_SECONDS
+    known = 0.0 < processor_seconds <= MAXIMUM_INTERPRETER_SECONDS
     began_at = first_at - processor_seconds if known else first_at
     timeline = StartTimeline(began_at, knows_processor_time=known)
     timeline.record("interpreter", first_at, processor_seconds)
--- a/src/beamloom/runtime/store_reader.py
+++ b/src/beamloom/runtime/store_reader.py
@@ -26,7 +26,7 @@
 from beamloom.replication.store_view import ObjectChange
 from beamloom.runtime.connection_limits import (
     LIST_SECONDS,
-    LONGEST_LIST_SECONDS,
+    MAXIMUM_LIST_SECONDS,
     list_limits,
     watch_limits,
 )
@@ -145,7 +145,7 @@
             return None
         self._was_silent = False
         if failure in (CallFailure.DEADLINE, CallFailure.STALLED):
-            self._list_seconds = min(LONGEST_LIST_SECONDS, 2 * self._list_seconds)
+            self._list_seconds = min(MAXIMUM_LIST_SECONDS, 2 * self._list_seconds)
         return failure.value
 
     async def _call(self, request: ListRequest | WatchRequest) -> HttpAnswer:
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -48,12 +48,12 @@
 store at once: the first one passes its answer on to the others.
 """
 READER_ID_BYTES = 4
-LONGEST_QUEUE_SECONDS = 1.0
+MAXIMUM_QUEUE_SECONDS = 1.0
 """How long a starting node leaves packets in its socket's buffer until it is ready. Clients
 retransmit after 0.2 to 1.6 s, so older packets are useless: a node that is not ready by then reads
 them, and drops those that it cannot forward.
 """
-LONGEST_OPENING_WAIT_SECONDS = 0.4
+MAXIMUM_OPENING_WAIT_SECONDS = 0.4
 """After a longer start, opening packets in the buffer are dropped: another node may have forwarded
 their retransmitted copies.
 """
@@ -224,8 +224,8 @@
             self.decisions.dependency_lost("metrics address", str(error), 1)
 
     async def _read_packets_when_unready(self) -> None:
-        """Start reading packets after LONGEST_QUEUE_SECONDS even if the node is not ready."""
-        await asyncio.sleep(LONGEST_QUEUE_SECONDS if self._mechanisms.waiting_packets else 0.0)
+        """Start reading packets after MAXIMUM_QUEUE_SECONDS even if the node is not ready."""
+        await asyncio.sleep(MAXIMUM_QUEUE_SECONDS if self._mechanisms.waiting_packets else 0.0)
         self._packets.start()
         await asyncio.Event().wait()
 
@@ -290,7 +290,7 @@
         if self.ready and not self._was_ready:
             self._was_ready = True
             self.start.record("ready")
-            if time.monotonic() - self._started_at > LONGEST_OPENING_WAIT_SECONDS:
+            if time.monotonic() - self._started_at > MAXIMUM_OPENING_WAIT_SECONDS:
                 self._packets.start_without_waiting_openings()
             else:
                 self._packets.start()
--- a/src/beamloom/settings/capacity.py
+++ b/src/beamloom/settings/capacity.py
@@ -42,7 +42,7 @@
 
 
 LEAST = Capacity()
-MAX_CAPACITY = Capacity(4096.0, 1e7, 1e9, 1e8)
+MAXIMUM_CAPACITY = Capacity(4096.0, 1e7, 1e9, 1e8)
 """Larger values are treated as mistakes."""
 LOWEST_RANK = 9
 """Ranks are one decimal digit: nine doublings lead from the minimum to rank 0."""
@@ -67,11 +67,11 @@
 def check_capacity(values: Sequence[Any]) -> CheckedCapacity:
     """Return the capacity with these values, in field order, and the minimum for unusable ones.
 
-    A value is unusable if it is missing, not a number, not above 0 or above `MAX_CAPACITY`.
+    A value is unusable if it is missing, not a number, not above 0 or above `MAXIMUM_CAPACITY`.
     """
     usable = [
         _usable(values[index] if index < len(values) else None, maximum)
-        for index, maximum in enumerate(MAX_CAPACITY)
+        for index, maximum in enumerate(MAXIMUM_CAPACITY)
     ]
     names = zip(Capacity._fields, usable, strict=True)
     unusable = tuple(name for name, value in names if value is None)
@@ -96,7 +96,7 @@
 def from_wire(values: Any) -> CheckedCapacity:  # noqa: ANN401 - unchecked input of a peer
     """Return the capacity that a peer sent; unusable values are replaced by the minimum."""
     listed = values if isinstance(values, list | tuple) else ()
-    maximum = to_wire(MAX_CAPACITY)
+    maximum = to_wire(MAXIMUM_CAPACITY)
     usable = [_usable(value, limit) for value, limit in zip(listed, maximum, strict=False)]
     return check_capacity(
         [
--- a/src/beamloom/standins/flow_packets.py
+++ b/src/beamloom/standins/flow_packets.py
@@ -14,7 +14,7 @@
     IDENTITY,
 )
 
-LARGEST_DATA = 1200
+MAXIMUM_DATA_SIZE = 1200
 _FLAG_NAMES = ((FLAG_SYN, "SYN"), (FLAG_ACK, "ACK"), (FLAG_FIN, "FIN"), (FLAG_RST, "RST"))
 
 
--- a/src/beamloom/standins/token_endpoint.py
+++ b/src/beamloom/standins/token_endpoint.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 
 from beamloom.platform.packet_layout import FLAG_ACK, FLAG_FIN, FLAG_RST, FLAG_SYN
-from beamloom.standins.flow_packets import LARGEST_DATA, FlowEnd, FlowPacket
+from beamloom.standins.flow_packets import MAXIMUM_DATA_SIZE, FlowEnd, FlowPacket
 
 FIRST_REPEAT_SECONDS = 0.2
-LONGEST_REPEAT_SECONDS = 1.6
+MAXIMUM_REPEAT_SECONDS = 1.6
 MAXIMUM_REPEATS = 8
 FlowName = tuple[FlowEnd, FlowEnd]
 
@@ -132,8 +132,8 @@
     ) -> list[FlowPacket]:
         head = f"{request} {self.name} ".encode()
         body = head + b"." * max(0, size - len(head))
-        for start in range(0, len(body), LARGEST_DATA):
-            data = body[start : start + LARGEST_DATA]
+        for start in range(0, len(body), MAXIMUM_DATA_SIZE):
+            data = body[start : start + MAXIMUM_DATA_SIZE]
             flow.unacknowledged.append(self._packet(name, flow, FLAG_ACK, data))
             flow.next_sequence += len(data)
         flow.repeats = 0
@@ -147,7 +147,7 @@
         if flow.repeats > MAXIMUM_REPEATS:
             del self._flows[name]
             return []
-        pause = min(LONGEST_REPEAT_SECONDS, FIRST_REPEAT_SECONDS * 2**flow.repeats)
+        pause = min(MAXIMUM_REPEAT_SECONDS, FIRST_REPEAT_SECONDS * 2**flow.repeats)
         flow.repeat_at = now + pause
         return list(flow.unacknowledged)
 
--- a/src/beamloom/standins/token_store_server.py
+++ b/src/beamloom/standins/token_store_server.py
@@ -20,7 +20,7 @@
     TokenStore,
 )
 
-LONGEST_SILENCE_SECONDS = 60.0
+MAXIMUM_SILENCE_SECONDS = 60.0
 STATUS_TOO_MANY = 429
 STATUS_UNAVAILABLE = 503
 
@@ -111,7 +111,7 @@
     async def _refusal(self, request: web.Request) -> int | None:
         faults = self.faults
         if faults.silent:
-            await asyncio.sleep(LONGEST_SILENCE_SECONDS)
+            await asyncio.sleep(MAXIMUM_SILENCE_SECONDS)
         if faults.delay_seconds:
             await asyncio.sleep(faults.delay_seconds)
         if faults.throttled:
@@ -121,7 +121,7 @@
     async def _host_refusal(self, request: web.Request) -> int | None:
         faults = self.faults
         if request.remote in faults.silent_hosts:
-            await asyncio.sleep(LONGEST_SILENCE_SECONDS)
+            await asyncio.sleep(MAXIMUM_SILENCE_SECONDS)
         if faults.unavailable or request.remote in faults.refused_hosts:
             return STATUS_UNAVAILABLE
         return STATUS_TOO_MANY if request.remote in faults.throttled_hosts else None
--- a/src/beamloom/telemetry/event_log.py
+++ b/src/beamloom/telemetry/event_log.py
@@ -1,7 +1,7 @@
 """A structured log with bounded memory, for processes that must not wait for its reader.
 
-`record` queues an event: at most MAX_EVENTS in all, and of each event name `lines_per_second` on
-average. `flush` renders and writes them. Lines that are not queued are counted, and the next line
+`record` queues an event: at most MAXIMUM_EVENTS in all, and of each event name `lines_per_second`
+on average. `flush` renders and writes them. Lines that are not queued are counted, and the next line
 of the same event carries their number. Lines have the format of structlog's JSONRenderer; structlog
 itself is not used, as importing it delays a node's start (see docs/design/decisions.md).
 """
@@ -14,10 +14,10 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-MAX_EVENTS = 2000
+MAXIMUM_EVENTS = 2000
 DEFAULT_LINES_PER_SECOND = 40.0
 BURST_SECONDS = 5.0
-MAX_UNWRITTEN_BYTES = 128 << 10
+MAXIMUM_UNWRITTEN_BYTES = 128 << 10
 """Output kept for a slow reader; enough for the lines of two starts with 150 backends."""
 
 FieldValue = str | int | float | bool | None
@@ -65,7 +65,7 @@
         gained = (now - bucket.refilled_at) * self._rate
         bucket.tokens = min(self._rate * BURST_SECONDS, bucket.tokens + gained)
         bucket.refilled_at = now
-        if bucket.tokens < 1.0 or len(self._events) >= MAX_EVENTS:
+        if bucket.tokens < 1.0 or len(self._events) >= MAXIMUM_EVENTS:
             bucket.left_out += 1
             self.counters["left_out"] += 1
             return False
@@ -110,10 +110,10 @@
         self._keep_unwritten(data, written)
 
     def _keep_unwritten(self, data: bytes, written: int) -> None:
-        """Keep unwritten data up to a line end for the next flush, within MAX_UNWRITTEN_BYTES."""
+        """Keep unwritten whole lines for the next flush, at most MAXIMUM_UNWRITTEN_BYTES of them."""
         end = len(data)
-        if end - written > MAX_UNWRITTEN_BYTES:
-            end = data.rfind(b"\n", written, written + MAX_UNWRITTEN_BYTES) + 1 or written
+        if end - written > MAXIMUM_UNWRITTEN_BYTES:
+            end = data.rfind(b"\n", written, written + MAXIMUM_UNWRITTEN_BYTES) + 1 or written
         self._unwritten = data[written:end]
         self.counters["left_out"] += data.count(b"\n", end)
 
--- a/src/beamloom/telemetry/logs.py
+++ b/src/beamloom/telemetry/logs.py
@@ -21,7 +21,7 @@
 
 LINES_PER_WINDOW = 10
 WINDOW_SECONDS = 60.0
-MAX_SUBJECTS = 4096
+MAXIMUM_SUBJECTS = 4096
 SUBJECT_FIELDS = ("node", "subject")
 
 
@@ -66,14 +66,14 @@
 
     def _evict_expired(self, now: float) -> None:
         """Remove windows that have ended from a full table, or all if that does not suffice."""
-        if len(self._windows) < MAX_SUBJECTS:
+        if len(self._windows) < MAXIMUM_SUBJECTS:
             return
         kept = {
             key: window
             for key, window in self._windows.items()
             if now - window.started < WINDOW_SECONDS
         }
-        self._windows = kept if len(kept) < MAX_SUBJECTS else {}
+        self._windows = kept if len(kept) < MAXIMUM_SUBJECTS else {}
 
 
 def configure_logs(log_format: LogFormat, stream: TextIO | None = None) -> LineLimit:
--- a/tests/functional/test_signals.py
+++ b/tests/functional/test_signals.py
@@ -23,7 +23,7 @@
 from tests.functional.token_node_case import TokenNodeCase
 
 SEND_INTERVAL_SECONDS = 0.0005
-LONGEST_EXIT_SECONDS = 12.0
+MAXIMUM_EXIT_SECONDS = 12.0
 NEVER_READY_SECONDS = 2.0
 """Less than a node that was ready keeps forwarding if no router probes it."""
 STARTS = 3
@@ -37,14 +37,14 @@
 
 def wait_until_blocked(node: subprocess.Popen[bytes]) -> None:
     """Return as soon as a process blocks or handles SIGHUP, or has ended."""
-    end = time.monotonic() + LONGEST_EXIT_SECONDS
+    end = time.monotonic() + MAXIMUM_EXIT_SECONDS
     while not holds(node.pid, signal.SIGHUP) and node.poll() is None and time.monotonic() < end:
         pass
 
 
 def flood(node: subprocess.Popen[bytes], is_done: Callable[[], bool] = lambda: False) -> None:
     """Send SIGHUP repeatedly until `is_done`, the end of the process or a timeout."""
-    end = time.monotonic() + LONGEST_EXIT_SECONDS
+    end = time.monotonic() + MAXIMUM_EXIT_SECONDS
     while node.poll() is None and not is_done() and time.monotonic() < end:
         node.send_signal(signal.SIGHUP)
         time.sleep(SEND_INTERVAL_SECONDS)
@@ -96,7 +96,7 @@
             await asyncio.sleep(0.02 * part)
             asked_at = time.monotonic()
             node.send_signal(signal.SIGTERM)
-            status = await asyncio.to_thread(node.wait, LONGEST_EXIT_SECONDS)
+            status = await asyncio.to_thread(node.wait, MAXIMUM_EXIT_SECONDS)
             self.assertEqual(status, 0, self.logs())
             self.assertLess(time.monotonic() - asked_at, NEVER_READY_SECONDS)
 
@@ -120,7 +120,7 @@
             [sys.executable, "-S", str(start)],
             capture_output=True,
             text=True,
-            timeout=LONGEST_EXIT_SECONDS,
+            timeout=MAXIMUM_EXIT_SECONDS,
             check=False,
         )
         self.assertEqual(
@@ -138,7 +138,7 @@
         await self.wait_until_ready(1)
         await self.wait_for_line(1, "SettingsReloaded")
         node.send_signal(signal.SIGTERM)
-        self.assertEqual(await asyncio.to_thread(node.wait, LONGEST_EXIT_SECONDS), 0)
+        self.assertEqual(await asyncio.to_thread(node.wait, MAXIMUM_EXIT_SECONDS), 0)
 
 
 class BalancerSignalsTest(NodeTestCase):
--- a/tests/functional/test_start_bundle.py
+++ b/tests/functional/test_start_bundle.py
@@ -13,8 +13,8 @@
 from beamloom.runtime.start import BUNDLE
 from beamloom.standins.token_client import FlowState
 from tests.functional.test_token_node import (
-    LONGEST_PROPAGATION_SECONDS,
-    LONGEST_STOP_SECONDS,
+    MAXIMUM_PROPAGATION_SECONDS,
+    MAXIMUM_STOP_SECONDS,
     READER_ELECTION_SECONDS,
 )
 from tests.functional.token_node_case import METRICS_PORT, TokenNodeCase
@@ -97,7 +97,7 @@
             changes = [line for line in self.lines(1) if line.get("source") == "peer"]
             return "draining" in [line.get("state") for line in changes]
 
-        await self.wait_until(has_received_change, LONGEST_PROPAGATION_SECONDS)
+        await self.wait_until(has_received_change, MAXIMUM_PROPAGATION_SECONDS)
         await self.serve(2, 2100)
         self.assertNotIn("is not used", self.logs())
 
@@ -116,7 +116,7 @@
         node.send_signal(signal.SIGHUP)
         await self.wait_for_line(1, "SettingsRefused")
         self.stop(node)
-        self.assertEqual(await asyncio.to_thread(node.wait, LONGEST_STOP_SECONDS), 0)
+        self.assertEqual(await asyncio.to_thread(node.wait, MAXIMUM_STOP_SECONDS), 0)
         self.assertNotIn("Traceback", self.logs())
 
     async def test_a_moved_bundle_is_used(self) -> None:
--- a/tests/functional/test_token_node.py
+++ b/tests/functional/test_token_node.py
@@ -9,21 +9,21 @@
 
 from beamloom.replication.reader_role import MAXIMUM_START_DELAY_SECONDS, READER_DISCOVERY_SECONDS
 from beamloom.replication.store_call_times import (
-    LONGEST_UNCONFIRMED_SECONDS,
+    MAXIMUM_UNCONFIRMED_SECONDS,
     STALE_SPREAD_SECONDS,
     store_call_times,
 )
 from beamloom.routing.tokens.records import BackendState
-from beamloom.runtime.planned_stop import LONGEST_FORWARD_SECONDS, SHORTEST_PROBE_GAP_SECONDS
+from beamloom.runtime.planned_stop import MAXIMUM_FORWARD_SECONDS, MINIMUM_PROBE_GAP_SECONDS
 from beamloom.runtime.token_node import TICK_SECONDS
 from beamloom.standins.token_client import FlowPlan, FlowState
 from tests.functional.bare_program import run_bare
 from tests.functional.token_node_case import METRICS_PORT, TokenNodeCase
 
-LONGEST_STOP_SECONDS = 6.0
+MAXIMUM_STOP_SECONDS = 6.0
 READER_ELECTION_SECONDS = READER_DISCOVERY_SECONDS + MAXIMUM_START_DELAY_SECONDS + 0.5
 """By then readers are elected; before that, changes may take as long as at a start."""
-LONGEST_PROPAGATION_SECONDS = store_call_times().overdue_seconds + 2 * TICK_SECONDS + 0.2
+MAXIMUM_PROPAGATION_SECONDS = store_call_times().overdue_seconds + 2 * TICK_SECONDS + 0.2
 """After the loss of a reader, another reader takes over; one tick until it calls, one to log."""
 NOT_BEFORE_READY = {
     "aiohttp",
@@ -65,8 +65,8 @@
         await self.wait_until_ready(1, status=503, seconds=1.0)
         await self.play(1, [last], seconds=3.0)
         self.assertIs(last.state, FlowState.DONE)
-        self.assertEqual(await asyncio.to_thread(node.wait, LONGEST_STOP_SECONDS), 0)
-        self.assertLess(time.monotonic() - began, LONGEST_STOP_SECONDS)
+        self.assertEqual(await asyncio.to_thread(node.wait, MAXIMUM_STOP_SECONDS), 0)
+        self.assertLess(time.monotonic() - began, MAXIMUM_STOP_SECONDS)
         events = [line["event"] for line in self.lines(1)]
         for event in ("Started", "Ready", "FlowPlaced", "StopRequested", "Stopped"):
             self.assertIn(event, events)
@@ -81,10 +81,10 @@
         await self.wait_until_ready(1, status=503, seconds=1.0)
         self.assertEqual(await self.readiness(1), 503)
         self.assertIsNone(node.poll(), "answers at one moment went to two routers")
-        await asyncio.sleep(SHORTEST_PROBE_GAP_SECONDS)
+        await asyncio.sleep(MINIMUM_PROBE_GAP_SECONDS)
         self.assertEqual(await self.readiness(1), 503)
         self.assertEqual(await asyncio.to_thread(node.wait, 1.0), 0)
-        self.assertLess(time.monotonic() - began, LONGEST_FORWARD_SECONDS)
+        self.assertLess(time.monotonic() - began, MAXIMUM_FORWARD_SECONDS)
 
     async def test_nodes_of_a_zone_stop_in_turn(self) -> None:
         self.add_endpoint(1)
@@ -97,11 +97,11 @@
             self.stop(node)
         await self.wait_until_ready(1, status=503, seconds=1.0)
         self.assertEqual(await self.readiness(2), 200)
-        await asyncio.to_thread(nodes[0].wait, LONGEST_STOP_SECONDS)
+        await asyncio.to_thread(nodes[0].wait, MAXIMUM_STOP_SECONDS)
         self.start_node(1)
         await self.wait_until_ready(1)
         await self.wait_until_ready(2, status=503, seconds=2.0)
-        self.assertEqual(await asyncio.to_thread(nodes[1].wait, LONGEST_STOP_SECONDS), 0)
+        self.assertEqual(await asyncio.to_thread(nodes[1].wait, MAXIMUM_STOP_SECONDS), 0)
 
     async def test_a_start_with_a_stale_configuration_gets_the_new_one_soon(self) -> None:
         self.add_endpoint(1)
@@ -114,7 +114,7 @@
         await self.wait_for_line(1, "Ready")
         ready = next(line for line in self.lines(1) if line["event"] == "Ready")
         self.assertEqual((ready["version"], ready["backends"]), (1, 2))
-        end = time.monotonic() + LONGEST_UNCONFIRMED_SECONDS + STALE_SPREAD_SECONDS + 1.0
+        end = time.monotonic() + MAXIMUM_UNCONFIRMED_SECONDS + STALE_SPREAD_SECONDS + 1.0
         while not {2, "i-00000002"} <= self.applied(1):
             self.assertLess(time.monotonic(), end, self.logs())
             await asyncio.sleep(0.05)
@@ -154,7 +154,7 @@
         self.assertEqual(len(set(flow.answers)), 1)
 
         self.configure(2)
-        await self.wait_until(lambda: 2 in self.applied(2), LONGEST_PROPAGATION_SECONDS)
+        await self.wait_until(lambda: 2 in self.applied(2), MAXIMUM_PROPAGATION_SECONDS)
         refused = self.new_flow(2001)
         await self.play(2, [refused])
         self.assertIs(refused.state, FlowState.REFUSED)
@@ -172,7 +172,7 @@
         self.announce(leaving, "tracker", BackendState.DRAINING)
         self.configure(5, "tracker")
         await self.wait_until(
-            lambda: self.applied_from_peers(1) >= {"draining", 5}, LONGEST_PROPAGATION_SECONDS
+            lambda: self.applied_from_peers(1) >= {"draining", 5}, MAXIMUM_PROPAGATION_SECONDS
         )
         flows = [self.new_flow(2100 + number) for number in range(6)]
         await self.play(1, flows)
--- a/tests/measure_membership.py
+++ b/tests/measure_membership.py
@@ -16,7 +16,7 @@
 WINDOW = 10
 SIZES = (70, 140, 280, 560)
 STEP = 0.1
-LONGEST_DETECTION = 90.0
+MAXIMUM_DETECTION = 90.0
 
 
 def byte_rates(fleet: Fleet, start: int, end: int) -> tuple[float, float]:
@@ -34,7 +34,7 @@
 def seconds_until_known(fleet: Fleet, crashed: list[NodeId]) -> float:
     """Return how long until all other nodes record these as dead; infinity if they do not."""
     start = fleet.now
-    while fleet.now < start + LONGEST_DETECTION:
+    while fleet.now < start + MAXIMUM_DETECTION:
         fleet.run(STEP)
         states = (state for node_id in crashed for state in fleet.states(node_id).values())
         if all(state is MemberState.DEAD for state in states):
--- a/tests/measurements/backend_status.py
+++ b/tests/measurements/backend_status.py
@@ -24,7 +24,7 @@
 WINDOW = 60.0
 LONG_ENOUGH = 60.0
 RESTART_SECONDS = 20.0
-LONGEST_COLD_START = 180.0
+MAXIMUM_COLD_START = 180.0
 
 
 class Churn:
@@ -105,7 +105,7 @@
     """Return how many nodes hold all records, and the rate of bytes, after each 30 s."""
     progress = []
     before = dict.fromkeys(fleet.nodes, 0)
-    while fleet.now < LONGEST_COLD_START:
+    while fleet.now < MAXIMUM_COLD_START:
         fleet.run(30.0)
         held = sorted(node.snapshot().records for node in fleet.nodes.values())
         largest = max(fleet.sent_bytes[node] - before[node] for node in fleet.nodes) / 30.0
--- a/tests/unit/telemetry/test_event_log.py
+++ b/tests/unit/telemetry/test_event_log.py
@@ -3,7 +3,12 @@
 import json
 import unittest
 
-from beamloom.telemetry.event_log import BURST_SECONDS, MAX_EVENTS, MAX_UNWRITTEN_BYTES, EventLog
+from beamloom.telemetry.event_log import (
+    BURST_SECONDS,
+    MAXIMUM_EVENTS,
+    MAXIMUM_UNWRITTEN_BYTES,
+    EventLog,
+)
 
 
 class Reader:
@@ -56,10 +61,10 @@
         self.assertEqual(self.log.counters["left_out"], 30)
 
     def test_memory_is_bounded(self) -> None:
-        for number in range(MAX_EVENTS + 50):
+        for number in range(MAXIMUM_EVENTS + 50):
             self.log.record(f"Event{number}", {})
         self.log.flush()
-        self.assertEqual(len(self.reader.lines()), MAX_EVENTS)
+        self.assertEqual(len(self.reader.lines()), MAXIMUM_EVENTS)
 
     def test_what_does_not_fit_is_written_later_and_nothing_waits(self) -> None:
         """Regression: the line for a ready node was lost after 150 lines of backends."""
@@ -88,8 +93,8 @@
         self.reader.room = 1 << 30
         self.log.flush()
         lines = self.reader.lines()
-        self.assertLess(len(lines) * len(text), MAX_UNWRITTEN_BYTES)
-        self.assertGreater(len(lines) * len(text), 0.8 * MAX_UNWRITTEN_BYTES)
+        self.assertLess(len(lines) * len(text), MAXIMUM_UNWRITTEN_BYTES)
+        self.assertGreater(len(lines) * len(text), 0.8 * MAXIMUM_UNWRITTEN_BYTES)
         self.assertEqual(self.log.counters["left_out"], rounds * each - len(lines))
 
     def test_a_partially_written_line_is_completed_when_others_are_dropped(self) -> None:
--- a/tests/unit/telemetry/test_logs.py
+++ b/tests/unit/telemetry/test_logs.py
@@ -9,7 +9,7 @@
 from beamloom.telemetry.log_format import LogFormat
 from beamloom.telemetry.logs import (
     LINES_PER_WINDOW,
-    MAX_SUBJECTS,
+    MAXIMUM_SUBJECTS,
     WINDOW_SECONDS,
     LineLimit,
     configure_logs,
@@ -38,9 +38,9 @@
         self.assertEqual(self.limit.counters["suppressed"], 5)
 
     def test_many_subjects_take_bounded_memory(self) -> None:
-        for number in range(3 * MAX_SUBJECTS):
+        for number in range(3 * MAXIMUM_SUBJECTS):
             self.passes(str(number))
-        self.assertLessEqual(len(self.limit._windows), MAX_SUBJECTS)
+        self.assertLessEqual(len(self.limit._windows), MAXIMUM_SUBJECTS)
 
 
 class ConfigureLogsTest(unittest.TestCase):
--- a/tests/unit/test_start_timeline.py
+++ b/tests/unit/test_start_timeline.py
@@ -3,8 +3,8 @@
 import unittest
 
 from beamloom.runtime.start_timeline import (
-    LONGEST_INTERPRETER_SECONDS,
-    LONGEST_START_SECONDS,
+    MAXIMUM_INTERPRETER_SECONDS,
+    MAXIMUM_START_SECONDS,
     StartLog,
     StartTimeline,
     begin_timeline,
@@ -67,7 +67,7 @@
 
     def test_an_implausible_process_clock_is_ignored(self) -> None:
         """On some hosts the process clock is the host's, and starts seemed to take hours."""
-        for clock in (0.0, LONGEST_INTERPRETER_SECONDS + 1, 50_000.0):
+        for clock in (0.0, MAXIMUM_INTERPRETER_SECONDS + 1, 50_000.0):
             with self.subTest(clock=clock):
                 timeline = begin_timeline(BEGAN, clock)
                 timeline.record("packet_forwarded", BEGAN + 0.1, clock + 0.1)
@@ -84,10 +84,10 @@
     def test_a_start_without_a_packet_is_reported_after_the_limit(self) -> None:
         reported: list[dict[str, object]] = []
         start = StartLog(StartTimeline(BEGAN), lambda event, **fields: reported.append(fields))
-        start.advance(BEGAN + LONGEST_START_SECONDS - 0.1)
+        start.advance(BEGAN + MAXIMUM_START_SECONDS - 0.1)
         self.assertEqual(reported, [])
-        start.advance(BEGAN + LONGEST_START_SECONDS)
-        start.advance(BEGAN + LONGEST_START_SECONDS + 0.25)
+        start.advance(BEGAN + MAXIMUM_START_SECONDS)
+        start.advance(BEGAN + MAXIMUM_START_SECONDS + 0.25)
         start.stop()
         self.assertEqual([fields["outcome"] for fields in reported], ["not_ready"])
 
--- a/tests/unit/tokens/test_answer_pace.py
+++ b/tests/unit/tokens/test_answer_pace.py
@@ -4,8 +4,8 @@
 
 from beamloom.routing.tokens.answer_pace import (
     HALF_LIFE_SECONDS,
-    MAX_SLOWDOWN,
-    MIN_SAMPLES,
+    MAXIMUM_SLOWDOWN,
+    MINIMUM_SAMPLES,
     AnswerPace,
     typical_seconds,
 )
@@ -26,7 +26,7 @@
 
 class AnswerPaceTest(unittest.TestCase):
     def test_few_answers_give_no_slowdown(self) -> None:
-        pace = pace_of(*[1.0] * (MIN_SAMPLES - 1))
+        pace = pace_of(*[1.0] * (MINIMUM_SAMPLES - 1))
         self.assertEqual(pace.slowdown(TYPICAL_SECONDS, 0.0), 1.0)
 
     def test_normal_variation_is_not_slow(self) -> None:
@@ -35,9 +35,9 @@
 
     def test_slowdown_is_bounded_and_decays(self) -> None:
         pace = pace_of(*[10 * TYPICAL_SECONDS] * 5)
-        self.assertEqual(pace.slowdown(TYPICAL_SECONDS, 0.0), MAX_SLOWDOWN)
+        self.assertEqual(pace.slowdown(TYPICAL_SECONDS, 0.0), MAXIMUM_SLOWDOWN)
         later = pace.slowdown(TYPICAL_SECONDS, HALF_LIFE_SECONDS)
-        self.assertAlmostEqual(later, 1.0 + (MAX_SLOWDOWN - 1.0) / 2)
+        self.assertAlmostEqual(later, 1.0 + (MAXIMUM_SLOWDOWN - 1.0) / 2)
 
     def test_the_typical_time_is_the_median_of_the_known_averages(self) -> None:
         slow = pace_of(*[1.0] * 5)
@@ -53,7 +53,7 @@
         self.near, *self.far = self.router.backends.of_service("tracker")
 
     def record_answers(self, held: Backend, seconds: float) -> None:
-        for _ in range(MIN_SAMPLES):
+        for _ in range(MINIMUM_SAMPLES):
             held.pace.note(seconds, 0.0)
 
     def chosen(self, router: TokenRouter) -> int:
--- a/tests/unit/tokens/test_configuration_history.py
+++ b/tests/unit/tokens/test_configuration_history.py
@@ -3,7 +3,7 @@
 import unittest
 
 from beamloom.routing.tokens.configuration_history import (
-    MAX_KEPT_VERSIONS,
+    MAXIMUM_KEPT_VERSIONS,
     ConfigurationHistory,
     apply_difference,
     difference_between,
@@ -40,9 +40,9 @@
     def test_it_keeps_the_last_versions(self) -> None:
         history = ConfigurationHistory()
         self.assertIsNone(history.newest_version)
-        for version in range(MAX_KEPT_VERSIONS + 5):
+        for version in range(MAXIMUM_KEPT_VERSIONS + 5):
             history.note(many_routes(version, 3))
-        self.assertEqual(history.newest_version, MAX_KEPT_VERSIONS + 4)
+        self.assertEqual(history.newest_version, MAXIMUM_KEPT_VERSIONS + 4)
         self.assertIsNone(history.find(4))
         kept = history.find(5)
         assert kept is not None
--- a/tests/unit/tokens/test_error_answers.py
+++ b/tests/unit/tokens/test_error_answers.py
@@ -4,10 +4,10 @@
 import unittest
 
 from beamloom.protocol.view_messages import ViewDigest
-from beamloom.routing.tokens.answer_sizes import MIN_ANSWERS, AnswerSizes
-from beamloom.routing.tokens.backend_table import MAX_FAILING_FRACTION
+from beamloom.routing.tokens.answer_sizes import MINIMUM_ANSWERS, AnswerSizes
+from beamloom.routing.tokens.backend_table import MAXIMUM_FAILING_FRACTION
 from beamloom.routing.tokens.packets import ForwardPacket
-from beamloom.routing.tokens.placement import MIN_UNDOUBTED_FRACTION
+from beamloom.routing.tokens.placement import MINIMUM_UNDOUBTED_FRACTION
 from beamloom.routing.tokens.records import RequestKind, RouteTerms
 from beamloom.settings.mechanisms import ALL_MECHANISMS
 from tests.unit.tokens.builders import (
@@ -42,7 +42,7 @@
         self.assertTrue(self.sizes.note(DESTINATION, ERROR_BYTES))
 
     def test_nothing_is_short_before_enough_answers(self) -> None:
-        self.add_usual(MIN_ANSWERS - 2)
+        self.add_usual(MINIMUM_ANSWERS - 2)
         self.assertFalse(self.sizes.note(DESTINATION, ERROR_BYTES))
 
     def test_usual_answers_rarely_count_as_short(self) -> None:
@@ -119,14 +119,14 @@
         self.assertNotIn(7, self.identities())
 
     def test_reports_of_one_node_on_most_of_a_service_are_ignored(self) -> None:
-        most = NUMBERS[: int(len(NUMBERS) * MIN_UNDOUBTED_FRACTION) + 1]
+        most = NUMBERS[: int(len(NUMBERS) * MINIMUM_UNDOUBTED_FRACTION) + 1]
         self.report_failing(*most, reporters="a")
         self.assertLess(set(most), self.identities())
 
     def test_at_most_a_fraction_of_a_service_is_avoided(self) -> None:
         self.report_failing(*NUMBERS)
         self.assertEqual(
-            len(self.identities()), len(NUMBERS) - int(MAX_FAILING_FRACTION * len(NUMBERS))
+            len(self.identities()), len(NUMBERS) - int(MAXIMUM_FAILING_FRACTION * len(NUMBERS))
         )
 
     def test_open_flows_stay_at_a_failing_backend(self) -> None:
--- a/tests/unit/tokens/test_liveness.py
+++ b/tests/unit/tokens/test_liveness.py
@@ -7,8 +7,8 @@
 from beamloom.routing.tokens.backend_table import Backend
 from beamloom.routing.tokens.flow_observer import QUIET_SECONDS
 from beamloom.routing.tokens.liveness import (
-    MAX_CONCURRENT_CHECKS,
-    MAX_RECHECK_SECONDS,
+    MAXIMUM_CONCURRENT_CHECKS,
+    MAXIMUM_RECHECK_SECONDS,
     RECHECK_SECONDS,
     ZONE_DOWN_BACKENDS,
     CheckOutcome,
@@ -99,7 +99,7 @@
         self.backend.open = 2
         self.checks.suspect(self.backend, Suspicion.GONE, START)
         self.checks.take(self.backend, CheckOutcome.ALIVE, START + 0.01)
-        self.checks.advance(START + 0.1 + MAX_RECHECK_SECONDS)
+        self.checks.advance(START + 0.1 + MAXIMUM_RECHECK_SECONDS)
         self.assertEqual(len(self.begun), 2)
         self.checks.take(self.backend, CheckOutcome.ALIVE, START + 2.2)
         self.backend.open = 0
@@ -117,14 +117,14 @@
         self.checks.watch(self.backend, START + 6.0)
         self.assertEqual(len(self.begun), 2)
         self.checks.take(self.backend, CheckOutcome.SILENT, START + 6.2)
-        self.checks.advance(START + 6.3 + MAX_RECHECK_SECONDS)
+        self.checks.advance(START + 6.3 + MAXIMUM_RECHECK_SECONDS)
         self.assertEqual(len(self.begun), 3)
 
     def test_the_number_of_concurrent_checks_is_limited(self) -> None:
         held = [Backend(backend(number), 1) for number in range(1, 30)]
         for one in held:
             self.checks.suspect(one, Suspicion.REPORTED, START)
-        self.assertEqual(len(self.begun), MAX_CONCURRENT_CHECKS)
+        self.assertEqual(len(self.begun), MAXIMUM_CONCURRENT_CHECKS)
         while self.begun:
             self.checks.take(self.begun.pop(0), CheckOutcome.SILENT, START + 0.3)
         self.assertEqual(len(self.down), len(held))
--- a/tests/unit/tokens/test_mechanisms.py
+++ b/tests/unit/tokens/test_mechanisms.py
@@ -13,7 +13,7 @@
 from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.store_view import StoreView
 from beamloom.replication.view_transfer import pack
-from beamloom.routing.tokens.answer_pace import MIN_SAMPLES
+from beamloom.routing.tokens.answer_pace import MINIMUM_SAMPLES
 from beamloom.routing.tokens.backend_table import Backend
 from beamloom.routing.tokens.configuration_history import ConfigurationHistory
 from beamloom.routing.tokens.packets import ForwardPacket
@@ -72,7 +72,7 @@
     settings = placement_settings(3.0, mechanisms)
     router = make_router(backend(1), backend(2, zone="far"), settings=settings)
     for held, seconds in zip(router.backends.of_service("tracker"), (0.5, 0.05), strict=True):
-        for _ in range(MIN_SAMPLES):
+        for _ in range(MINIMUM_SAMPLES):
             held.pace.note(seconds, 0.0)
     command = router.handle(opening(1), 0.0)
     assert isinstance(command, ForwardPacket)
--- a/tests/unit/tokens/test_own_limits.py
+++ b/tests/unit/tokens/test_own_limits.py
@@ -18,7 +18,7 @@
 from beamloom.node.token_core import ANSWER_SHARES
 from beamloom.platform.node_settings import check_settings
 from beamloom.protocol.view_messages import AskElsewhere, ViewDigest, ViewPart, ViewRequest
-from beamloom.replication.answer_budget import MOST_REFERRALS
+from beamloom.replication.answer_budget import MAXIMUM_REFERRALS
 from beamloom.replication.fleet_share import DRAWS_TO_CHANGE, FleetShare
 from beamloom.routing.tokens.packets import ForwardPacket
 from beamloom.runtime.limit_watch import LimitWatch
@@ -88,7 +88,7 @@
         self.core.take_sends()
 
     def answers(self) -> list[type]:
-        self.core.handle_message("10.0.0.3", ViewRequest(0, -1, [], MOST_REFERRALS), NOW)
+        self.core.handle_message("10.0.0.3", ViewRequest(0, -1, [], MAXIMUM_REFERRALS), NOW)
         return [type(send.message) for send in self.core.take_sends()]
 
     def test_closed_node_refers_peers_and_serves_clients(self) -> None:
--- a/tests/unit/views/exchange_network.py
+++ b/tests/unit/views/exchange_network.py
@@ -18,7 +18,7 @@
 STEP_SECONDS = 0.05
 DELAY_SECONDS = 0.003
 LATE_SECONDS = store_call_times().late_seconds
-MOST_HOPS = 8
+MAXIMUM_HOPS = 8
 """Bounds the error of a confirmation's age, which does not include the time in transit."""
 
 
--- a/tests/unit/views/test_object_watch.py
+++ b/tests/unit/views/test_object_watch.py
@@ -15,7 +15,7 @@
     OlderAnswerError,
     WatchRequest,
 )
-from beamloom.replication.store_call_times import LONGEST_PAUSE_SECONDS
+from beamloom.replication.store_call_times import MAXIMUM_PAUSE_SECONDS
 from beamloom.replication.store_view import NamedRecord, ObjectChange, StoreView
 from beamloom.routing.tokens.records import BackendRecord, BackendState
 from tests.unit.tokens.builders import backend
@@ -147,7 +147,7 @@
 
     def test_pauses_are_drawn_from_zero_to_a_bound_that_doubles(self) -> None:
         pauses = [self.watch.take_failure() for _ in range(200)]
-        self.assertLessEqual(max(pauses), LONGEST_PAUSE_SECONDS)
+        self.assertLessEqual(max(pauses), MAXIMUM_PAUSE_SECONDS)
         self.assertLess(min(pauses), 0.05)
         self.watch.take_changes(ChangeBatch((), 1), now=1.0)
         self.assertEqual(self.watch.failures, 0)
--- a/tests/unit/views/test_pull_choice.py
+++ b/tests/unit/views/test_pull_choice.py
@@ -4,7 +4,7 @@
 import unittest
 
 from beamloom.protocol.view_messages import AskElsewhere, ViewDigest, ViewPart, ViewRequest
-from beamloom.replication.answer_budget import MOST_REFERRALS, AnswerBudget
+from beamloom.replication.answer_budget import MAXIMUM_REFERRALS, AnswerBudget
 from beamloom.replication.peer_table import MAXIMUM_FAN_OUT, PeerTable
 from beamloom.replication.pull_choice import UNANSWERED_AVOID_SECONDS, PendingRequest, PullChoice
 from beamloom.replication.store_view import NamedRecord
@@ -163,15 +163,15 @@
     def test_over_budget_a_node_refers_first_attempts_and_answers_later_ones(self) -> None:
         self.assertEqual(self.ask("10.0.0.2"), {ViewPart})
         self.assertEqual(self.ask("10.0.0.3"), {AskElsewhere})
-        self.assertEqual(self.ask("10.0.0.3", attempt=MOST_REFERRALS), {ViewPart})
+        self.assertEqual(self.ask("10.0.0.3", attempt=MAXIMUM_REFERRALS), {ViewPart})
         for _ in range(5):
-            self.ask("10.0.0.4", attempt=MOST_REFERRALS)
-        self.assertEqual(self.ask("10.0.0.4", attempt=MOST_REFERRALS), {AskElsewhere})
+            self.ask("10.0.0.4", attempt=MAXIMUM_REFERRALS)
+        self.assertEqual(self.ask("10.0.0.4", attempt=MAXIMUM_REFERRALS), {AskElsewhere})
 
     def test_at_share_zero_it_refers_until_the_last_attempt(self) -> None:
         self.node.exchange.use_limits(0.0)
-        self.assertEqual(self.ask("10.0.0.2", attempt=MOST_REFERRALS), {AskElsewhere})
-        self.assertEqual(self.ask("10.0.0.2", attempt=MOST_REFERRALS + 1), {ViewPart})
+        self.assertEqual(self.ask("10.0.0.2", attempt=MAXIMUM_REFERRALS), {AskElsewhere})
+        self.assertEqual(self.ask("10.0.0.2", attempt=MAXIMUM_REFERRALS + 1), {ViewPart})
 
     def test_a_node_without_peers_answers(self) -> None:
         lone = Node("10.0.0.1", [], random.Random(1))
--- a/tests/unit/views/test_reader_role.py
+++ b/tests/unit/views/test_reader_role.py
@@ -4,7 +4,7 @@
 import unittest
 
 from beamloom.replication.reader_role import (
-    LONGEST_JOIN_SECONDS,
+    MAXIMUM_JOIN_SECONDS,
     MAXIMUM_START_DELAY_SECONDS,
     READER_DISCOVERY_SECONDS,
     TARGET_READERS,
@@ -13,7 +13,7 @@
 )
 from beamloom.replication.store_call_times import (
     CALL_TIMEOUT_SECONDS,
-    LONGEST_PAUSE_SECONDS,
+    MAXIMUM_PAUSE_SECONDS,
     STALE_SPREAD_SECONDS,
     store_call_times,
 )
@@ -58,7 +58,7 @@
                 self.assertGreater(times.stale_seconds, times.wait_seconds)
                 latest = times.stale_seconds + STALE_SPREAD_SECONDS + CALL_TIMEOUT_SECONDS
                 self.assertLessEqual(latest, bound + 1e-9)
-                hanging = times.wait_seconds + 2 * CALL_TIMEOUT_SECONDS + LONGEST_PAUSE_SECONDS
+                hanging = times.wait_seconds + 2 * CALL_TIMEOUT_SECONDS + MAXIMUM_PAUSE_SECONDS
                 self.assertLessEqual(hanging, contact + 1e-9)
 
     def test_a_fleet_converges_on_the_target(self) -> None:
@@ -118,13 +118,13 @@
         """The listening time must not pass before a node can receive digests."""
         role = ReaderRole("5", random.Random(3), store_call_times())
         now = 1.0
-        while now < 1.0 + LONGEST_JOIN_SECONDS:
+        while now < 1.0 + MAXIMUM_JOIN_SECONDS:
             self.assertFalse(role.advance(now, joined=False))
             now += STEP_SECONDS
         while not role.reading:
             role.advance(now, joined=False)
             now += STEP_SECONDS
-        latest = LONGEST_JOIN_SECONDS + READER_DISCOVERY_SECONDS + MAXIMUM_START_DELAY_SECONDS
+        latest = MAXIMUM_JOIN_SECONDS + READER_DISCOVERY_SECONDS + MAXIMUM_START_DELAY_SECONDS
         self.assertLess(now, 1.0 + latest + 3 * STEP_SECONDS)
 
     def test_a_former_reader_does_not_count_itself(self) -> None:
--- a/tests/unit/views/test_store_call_schedule.py
+++ b/tests/unit/views/test_store_call_schedule.py
@@ -15,7 +15,7 @@
     StoreCallSchedule,
 )
 from beamloom.replication.store_call_times import (
-    LONGEST_PAUSE_SECONDS,
+    MAXIMUM_PAUSE_SECONDS,
     STALE_SPREAD_SECONDS,
     store_call_times,
 )
@@ -109,7 +109,7 @@
 
     def test_pauses_between_failing_calls_grow_with_the_fleet(self) -> None:
         self.take_list(1.0)
-        self.assertLess(self.schedule.note_failure(2.0), LONGEST_PAUSE_SECONDS)
+        self.assertLess(self.schedule.note_failure(2.0), MAXIMUM_PAUSE_SECONDS)
         self.role.peer_count = 200
         pauses = [self.schedule.note_failure(3.0) for _ in range(20)]
         self.assertGreaterEqual(min(pauses), self.times.outage_pause_seconds / 2)
@@ -117,11 +117,11 @@
 
     def test_nodes_without_a_list_and_readers_retry_soon(self) -> None:
         self.role.peer_count = 200
-        self.assertLess(self.schedule.note_failure(1.0), LONGEST_PAUSE_SECONDS)
+        self.assertLess(self.schedule.note_failure(1.0), MAXIMUM_PAUSE_SECONDS)
         self.take_list(1.0)
         self.role.reading = True
         self.role.note_answer(1.0)
-        self.assertLess(self.schedule.note_failure(2.0), LONGEST_PAUSE_SECONDS)
+        self.assertLess(self.schedule.note_failure(2.0), MAXIMUM_PAUSE_SECONDS)
 
     def test_each_call_has_a_purpose(self) -> None:
         self.assertIs(self.schedule.purpose, CallPurpose.START)
--- a/tests/unit/views/test_store_reader.py
+++ b/tests/unit/views/test_store_reader.py
@@ -14,7 +14,7 @@
 
 LIST_PATH = "list"
 REVISION = 7
-LONGEST_SECONDS = 5.0
+MAXIMUM_SECONDS = 5.0
 
 BACKENDS = KindFormat[BackendRecord](
     "backends",
@@ -62,7 +62,7 @@
         reader.on_answer = lambda changes: core.role.note_answer(asyncio.get_running_loop().time())
         task = asyncio.create_task(reader.run())
         try:
-            await asyncio.wait_for(connection.exhausted.wait(), LONGEST_SECONDS)
+            await asyncio.wait_for(connection.exhausted.wait(), MAXIMUM_SECONDS)
         finally:
             task.cancel()
             await asyncio.wait({task})
@@ -96,7 +96,7 @@
         eras: list[int] = []
         reader.on_era = eras.append
         task = asyncio.create_task(reader.run())
-        await asyncio.wait_for(connection.exhausted.wait(), LONGEST_SECONDS)
+        await asyncio.wait_for(connection.exhausted.wait(), MAXIMUM_SECONDS)
         task.cancel()
         await asyncio.wait({task})
         self.assertEqual(eras, [4])
--- a/tests/unit/views/test_view_exchange.py
+++ b/tests/unit/views/test_view_exchange.py
@@ -8,7 +8,7 @@
 from beamloom.replication.peer_table import OWN_ZONE_SHARE, PEER_EXPIRY_SECONDS, PeerTable
 from beamloom.replication.stop_turns import StopState
 from tests.unit.tokens.builders import backend
-from tests.unit.views.exchange_network import DELAY_SECONDS, MOST_HOPS, Network, Node
+from tests.unit.views.exchange_network import DELAY_SECONDS, MAXIMUM_HOPS, Network, Node
 
 
 class SmallFleetTest(unittest.TestCase):
@@ -40,7 +40,7 @@
             self.assertEqual(node.view.revision, 20)
             assert node.view.confirmed_at is not None
             self.assertGreaterEqual(node.view.confirmed_at, at)
-            self.assertLess(node.view.confirmed_at, at + MOST_HOPS * DELAY_SECONDS)
+            self.assertLess(node.view.confirmed_at, at + MAXIMUM_HOPS * DELAY_SECONDS)
 
     def test_all_nodes_discover_each_other_through_the_seeds(self) -> None:
         for node in self.network.nodes.values():
--- a/tools/bench_runs.py
+++ b/tools/bench_runs.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-LONGEST_RUN_SECONDS = 600
+MAXIMUM_RUN_SECONDS = 600
 ROW = re.compile(r"^\S+ +\d+/\d+ +(?P<score>[\d.]+) +(?P<worth>[\d.]+) ", re.MULTILINE)
 BROKEN = re.compile(r"BROKEN: (.*?)(?: \(else|$)", re.MULTILINE)
 CLASS_ROW = re.compile(r"^\S+ +(\d+) +\d+ +(\d+) +(\d+) +(\d+) +\d+ +[\d.]+ +[\d.]+ +[\d.]+$")
@@ -48,7 +48,7 @@
             cwd=root,
             capture_output=True,
             text=True,
-            timeout=LONGEST_RUN_SECONDS,
+            timeout=MAXIMUM_RUN_SECONDS,
             check=False,
         )
     except subprocess.TimeoutExpired:
