--- a/src/beamloom/bench/token_path.py
+++ b/src/beamloom/bench/token_path.py
@@ -24,7 +24,7 @@
     RouteRecord,
     RoutingConfiguration,
 )
-from beamloom.routing.tokens.router import TokenRouter, ignore_decision
+from beamloom.routing.tokens.router import TokenRouter, discard_decision
 from beamloom.routing.tokens.token import KEY_BYTES, TokenCodec
 from beamloom.runtime.decision_log import DecisionLog
 from beamloom.standins.flow_packets import FlowEnd, FlowPacket
@@ -62,7 +62,7 @@
 
 
 def _round(packets: int, seed: int, log: EventLog | None) -> float:
-    on_decision: Callable[[Decision], None] = ignore_decision
+    on_decision: Callable[[Decision], None] = discard_decision
     if log is not None:
         on_decision = DecisionLog(log, packet_layout.describe_flow, lambda: 0.5).decision
     router = _make_router(seed, on_decision)
@@ -108,7 +108,7 @@
     router.codec = TokenCodec(bytes(KEY_BYTES))
     destination = packet_layout.destination_key(SERVICE.address, SERVICE.port)
     route = RouteRecord("route", destination, (RoutePart("service", 1.0),))
-    router.put_in_force(RoutingConfiguration(1, (route,)))
+    router.activate(RoutingConfiguration(1, (route,)))
     for number in range(1, BACKENDS_PER_SERVICE + 1):
         name, host = f"i-{number:08x}", f"10.128.0.{number}"
         record = BackendRecord(name, number, "service", host, 8080, "west", 2, BackendState.READY)
--- a/src/beamloom/fuzzing/subjects/token_router.py
+++ b/src/beamloom/fuzzing/subjects/token_router.py
@@ -92,7 +92,7 @@
             deployment.destination(key): frozenset({name}) for key, name in self._routes.items()
         }
         for router in self._routers:
-            router.put_in_force(deployment.configuration_of(self._version, routes))
+            router.activate(deployment.configuration_of(self._version, routes))
 
     def _open(self, client: int, destination: int, node: int) -> None:
         destination %= 3
--- a/src/beamloom/node/backend_judge.py
+++ b/src/beamloom/node/backend_failure_handler.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from beamloom.node.belief_observer import BeliefObserver
+from beamloom.node.node_observer import NodeObserver
 from beamloom.routing.tokens.backend_table import Backend
 from beamloom.routing.tokens.liveness import CheckOutcome, LivenessChecks, Suspicion
 from beamloom.routing.tokens.packets import RefusalReason
@@ -32,12 +32,10 @@
 """The same after several nodes saw signs of failure."""
 
 
-class BackendJudge:
+class BackendFailureHandler:
     """Connects the router's failure signals, the liveness checks and the reports between nodes."""
 
-    def __init__(
-        self, router: TokenRouter, observer: BeliefObserver, mechanisms: Mechanisms
-    ) -> None:
+    def __init__(self, router: TokenRouter, observer: NodeObserver, mechanisms: Mechanisms) -> None:
         self.checks = LivenessChecks()
         self._router = router
         self._observer = observer
@@ -46,7 +44,7 @@
         self._is_late = False
         router.flows.on_unanswered = self._report_unanswered
         if mechanisms.overdue_answers:
-            router.flows.find_patience = router.find_patience
+            router.flows.find_answer_timeout = router.find_answer_timeout
             router.flows.on_overdue = self._report_overdue
         if mechanisms.error_answers:
             router.flows.on_short_answer = self._report_failure
@@ -60,7 +58,7 @@
         self._exchange = exchange
         exchange.reports.on_silent = self._exclude_silent
         exchange.reports.on_failing = self._exclude_failing
-        exchange.reports.on_sign_of_failure = self._handle_failure_report
+        exchange.reports.on_failure_report = self._handle_failure_report
         if self._mechanisms.liveness_checks:
             exchange.reports.on_down = self._handle_down_report
 
@@ -88,17 +86,17 @@
 
         A backend that was dropped from the table is ignored: another process may have its name.
         """
-        if self._is_late or backend.forgotten:
+        if self._is_late or backend.removed:
             return
-        backend.doubt(now + UNSAFE_AVOIDANCE_SECONDS)
+        backend.mark_doubted(now + UNSAFE_AVOIDANCE_SECONDS)
         if self._exchange is not None and self._mechanisms.told_silence:
             self._exchange.reports.note_silent(backend.record.name, now)
 
     def _report_failure(self, backend: Backend, now: float) -> None:
         """Keep non-repeatable requests from a backend that seems to fail, and report it."""
-        if backend.forgotten:
+        if backend.removed:
             return
-        backend.doubt(now + UNSAFE_AVOIDANCE_SECONDS)
+        backend.mark_doubted(now + UNSAFE_AVOIDANCE_SECONDS)
         if self._exchange is not None:
             self._exchange.reports.note_failing(backend.record.name, now)
 
@@ -114,36 +112,36 @@
         until = since + PEER_SUSPICION_SECONDS
         silent = self._router.backends.suspect(name, since, until)
         if silent is not None:
-            self._observer.suspected(name, silent.record.service, max(0.0, now - since))
+            self._observer.backend_suspected(name, silent.record.service, max(0.0, now - since))
 
     def _exclude_failing(self, name: str, since: float, now: float) -> None:
         """Exclude a backend that several nodes report as failing; its open flows stay."""
-        backend = self._router.backends.find_alive_since(name, since)
+        backend = self._router.backends.find_unless_restarted(name, since)
         if backend is None:
             return
-        backend.doubt(since + CONFIRMED_UNSAFE_AVOIDANCE_SECONDS)
+        backend.mark_doubted(since + CONFIRMED_UNSAFE_AVOIDANCE_SECONDS)
         relapses = self._relapse_count(backend, now)
         until = since + FAILING_EXCLUSION_SECONDS * 2**relapses
         failing = self._router.backends.note_failing(name, since, now, until)
         if failing is not None:
-            failing.failing_spells = relapses
+            failing.failing_relapses = relapses
             self._observer.backend_failing(failing.record)
 
     def _relapse_count(self, backend: Backend, now: float) -> int:
         """Return the number of relapses in a row, at most MAXIMUM_EXCLUSION_DOUBLINGS."""
         if backend.failing_until >= now or not self._mechanisms.longer_relapses:
-            return backend.failing_spells
+            return backend.failing_relapses
         relapsed = now - backend.failing_until < RELAPSE_SECONDS
-        return min(backend.failing_spells + 1, MAXIMUM_EXCLUSION_DOUBLINGS) if relapsed else 0
+        return min(backend.failing_relapses + 1, MAXIMUM_EXCLUSION_DOUBLINGS) if relapsed else 0
 
     def _handle_failure_report(self, name: str, since: float) -> None:
         """Keep non-repeatable requests from a backend after a report of any single node.
 
         It needs no quorum, as such requests only prefer other backends.
         """
-        backend = self._router.backends.find_alive_since(name, since)
+        backend = self._router.backends.find_unless_restarted(name, since)
         if backend is not None:
-            backend.doubt(since + UNSAFE_AVOIDANCE_SECONDS)
+            backend.mark_doubted(since + UNSAFE_AVOIDANCE_SECONDS)
 
     def _note_down(self, backend: Backend, outcome: CheckOutcome, now: float) -> None:
         """Reset the open flows of a backend that a check found dead, and report it to peers."""
@@ -156,7 +154,7 @@
 
     def _note_up(self, backend: Backend, now: float) -> None:
         if backend.was_refused:
-            self._router.backends.note_process_began(backend, now)
+            self._router.backends.presume_cold(backend, now)
         self._observer.backend_up(backend.record)
 
     def _handle_down_report(self, name: str, now: float) -> None:
--- a/src/beamloom/node/core.py
+++ b/src/beamloom/node/core.py
@@ -16,8 +16,8 @@
 from beamloom.node.configuration_follower import ConfigurationFollower
 from beamloom.node.control_channel import ControlChannel
 from beamloom.node.errors import UnknownEventError
-from beamloom.node.neighbours import ClientRefusals, ObservedHealth, PacketMetering, TenantGate
 from beamloom.node.options import NodeOptions
+from beamloom.node.routing_hooks import ObservedHealth, PacketMetering, RefusalPackets, TenantGate
 from beamloom.node.timers import ComponentGroup, ComponentTimers
 from beamloom.protocol.commands import Command, StopNode
 from beamloom.protocol.events import (
@@ -61,7 +61,7 @@
         self.gate = TenantGate(self.admission)
         self._health = ObservedHealth(self.watchers, now)
         self._metering = PacketMetering(self.admission)
-        hooks = RoutingHooks(self.gate, ClientRefusals(), self._health)
+        hooks = RoutingHooks(self.gate, RefusalPackets(), self._health)
         self.forwarder = Forwarder(machine, options.hash_key, options.gateways, hooks)
         self.channel = ControlChannel(
             node_id,
--- a/src/beamloom/node/evacuation_follower.py
+++ b/src/beamloom/node/evacuation_follower.py
@@ -67,7 +67,7 @@
             lists_from_peers=mechanisms.evacuations_from_peers and not is_seed,
             depends_on=depends_on,
         )
-        self.since: dict[str, float] = {}
+        self.evacuated_since: dict[str, float] = {}
         self.counters: Counter[str] = Counter()
         self.on_zones_changed: Callable[[frozenset[str], float, Mapping[str, int]], None] = (
             lambda zones, now, end_revisions: None
@@ -100,22 +100,22 @@
 
     def apply(self, changes: EvacuationChanges, now: float) -> None:
         """Apply changes from the store or from peers."""
-        before = set(self.since)
+        before = set(self.evacuated_since)
         for change in changes:
             self._apply_one(change, now)
-        if self.since.keys() != before:
+        if self.evacuated_since.keys() != before:
             gone = (change for change in changes if change.record is None)
             end_revisions = {change.name: change.revision for change in gone}
-            self.on_zones_changed(frozenset(self.since), now, end_revisions)
+            self.on_zones_changed(frozenset(self.evacuated_since), now, end_revisions)
 
     def _apply_one(self, change: ObjectChange[ZoneEvacuation], now: float) -> None:
         zone = change.name
         if change.record is None:
-            if self.since.pop(zone, None) is not None:
+            if self.evacuated_since.pop(zone, None) is not None:
                 self.on_change(zone, False, change.revision)
         elif self._known_zones and zone not in self._known_zones:
             self.counters["unknown_zones"] += 1
             self.on_unknown_zone(zone)
-        elif zone not in self.since:
-            self.since[zone] = now
+        elif zone not in self.evacuated_since:
+            self.evacuated_since[zone] = now
             self.on_change(zone, True, change.revision)
--- a/src/beamloom/node/belief_observer.py
+++ b/src/beamloom/node/node_observer.py
@@ -12,7 +12,7 @@
 FROM_PEER = "peer"
 
 
-class BeliefObserver(ABC):
+class NodeObserver(ABC):
     """Records decisions and state changes of a node; `source` is FROM_STORE or FROM_PEER."""
 
     @abstractmethod
@@ -44,7 +44,7 @@
         """Record an evacuation that names no zone of this deployment."""
 
     @abstractmethod
-    def suspected(self, backend: str, service: str, age: float) -> None:
+    def backend_suspected(self, backend: str, service: str, age: float) -> None:
         """Record that several nodes found a backend silent, the last one `age` seconds ago."""
 
     @abstractmethod
@@ -72,5 +72,5 @@
         """Record that a peer announced unusable capacity figures; these fields count as least."""
 
     @abstractmethod
-    def own_limits(self, state: str, before: str, limit: str, share: float) -> None:
+    def limit_state_changed(self, state: str, before: str, limit: str, share: float) -> None:
         """Record a change of state in `node/own_limits.py`."""
--- a/src/beamloom/node/own_limits.py
+++ b/src/beamloom/node/own_limits.py
@@ -52,7 +52,7 @@
     memory: float | None = None
     descriptors: float | None = None
 
-    def fullest(self) -> tuple[str, float]:
+    def highest(self) -> tuple[str, float]:
         """Return the limit with the highest usage, and that usage; an empty name for none."""
         known = [
             (share, name)
@@ -84,9 +84,9 @@
             ignore_invalid_triggers=True,
         )
 
-    def take(self, usage: Usage) -> None:
+    def add_sample(self, usage: Usage) -> None:
         """Process a sample; to be called every SAMPLE_SECONDS."""
-        limit, share = usage.fullest()
+        limit, share = usage.highest()
         rises, falls = self._direction(share)
         self._samples_above = self._samples_above + 1 if rises else 0
         self._samples_below = self._samples_below + 1 if falls else 0
--- a/src/beamloom/node/record_orders.py
+++ b/src/beamloom/node/record_orders.py
@@ -42,7 +42,7 @@
 
     def is_same(self, incoming: BackendRecord, known: BackendRecord) -> bool:
         """Whether two entries are equal; sequence numbers count only where a warm-up is given."""
-        return incoming.tells_same(known)
+        return incoming.has_same_content(known)
 
     def is_recreated(self, incoming: BackendRecord, removed: BackendRecord) -> bool:
         """Whether an entry is of a later start of the backend than the one that had gone."""
--- a/src/beamloom/node/neighbours.py
+++ b/src/beamloom/node/routing_hooks.py
@@ -76,7 +76,7 @@
         return budget
 
 
-class ClientRefusals:
+class RefusalPackets:
     """Implements routing's `RefusalBuilder`: builds the packets that refuse or reset flows."""
 
     def cancel(self, packet: bytes, may_have_run: bool) -> Cancellation:
--- a/src/beamloom/node/token_core.py
+++ b/src/beamloom/node/token_core.py
@@ -2,7 +2,7 @@
 
 It performs no I/O. Its driver (asyncio on sockets, or the simulator) calls the store when the
 `*_schedule` objects say so, passes answers to the `*_watch` objects and the resulting changes to
-`take_*`, and sends the messages that `take_sends` returns.
+`apply_*`, and sends the messages that `take_sends` returns.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from beamloom.node.backend_judge import BackendJudge
-from beamloom.node.belief_observer import FROM_PEER, FROM_STORE, BeliefObserver
+from beamloom.node.backend_failure_handler import BackendFailureHandler
 from beamloom.node.evacuation_follower import EvacuationChanges, EvacuationFollower
+from beamloom.node.node_observer import FROM_PEER, FROM_STORE, NodeObserver
 from beamloom.node.record_orders import BackendOrder, ConfigurationOrder
 from beamloom.replication.object_watch import ObjectWatch
 from beamloom.replication.reader_role import ReaderRole
@@ -22,7 +22,7 @@
 from beamloom.replication.store_call_schedule import StoreCallSchedule
 from beamloom.replication.store_call_times import StoreCallTimes
 from beamloom.replication.store_view import ObjectChange, StoreView
-from beamloom.routing.tokens.cold_starts import SENDERS_OF_A_BACKEND, ColdStartGate
+from beamloom.routing.tokens.cold_starts import SENDERS_PER_BACKEND, ColdStartGate
 from beamloom.routing.tokens.configuration_history import ConfigurationHistory
 from beamloom.routing.tokens.placement import Placement, PlacementSettings
 from beamloom.routing.tokens.records import BackendRecord, RoutingConfiguration
@@ -76,7 +76,7 @@
         zone: str,
         reader_id: str,
         configuration_name: str,
-        observer: BeliefObserver,
+        observer: NodeObserver,
         *,
         rng: random.Random,
         times: StoreCallTimes,
@@ -94,13 +94,13 @@
         self.router = TokenRouter(
             Placement(zone, placement or PlacementSettings(), rng, self._cold_starts),
             observer.decision,
-            moves_copies=mechanisms.other_backend_for_copies,
-            leaves_zones=mechanisms.other_zone_for_copies,
-            refuses_too_late=mechanisms.timely_refusals,
+            retries_other_backend=mechanisms.other_backend_for_copies,
+            retries_other_zone=mechanisms.other_zone_for_copies,
+            refuses_on_timeout=mechanisms.timely_refusals,
         )
         self.router.may_refuse = False
-        self.router.backends.use_services(frozenset(), 0.0)
-        self._failure_handler = BackendJudge(self.router, observer, mechanisms)
+        self.router.backends.set_services(frozenset(), 0.0)
+        self._failure_handler = BackendFailureHandler(self.router, observer, mechanisms)
         self.checks = self._failure_handler.checks
         self.role = ReaderRole(reader_id, rng, times, mechanisms)
         self.backends: StoreView[BackendRecord] = StoreView(BackendOrder(heartbeat_seconds))
@@ -131,7 +131,7 @@
         self._configuration_history = ConfigurationHistory()
         self._retained_backends = RetentionTimer(self.backends, self._apply_settled_backends)
         self.catch_up_seconds = LatencyHistogram()
-        self.on_progress: Callable[[], None] = lambda: None
+        self.on_view_changed: Callable[[], None] = lambda: None
         self._configuration_name = configuration_name
         self._observer = observer
         self._rng = rng
@@ -153,11 +153,11 @@
             and self.router.codec is not None
         )
 
-    def use_key(self, secret: bytes, *former: bytes) -> None:
-        """Mint tokens with `secret`; verify tokens of `secret` and of the `former` secrets."""
+    def set_secrets(self, secret: bytes, *older_secrets: bytes) -> None:
+        """Mint tokens with `secret`; verify tokens of `secret` and of the `older_secrets`."""
         binds_flows = self._mechanisms.flow_bound_tokens
-        self.router.codec = TokenCodec(secret, *former, binds_flows=binds_flows)
-        self.on_progress()
+        self.router.codec = TokenCodec(secret, *older_secrets, binds_flows=binds_flows)
+        self.on_view_changed()
 
     def join_peers(self, host: str, seeds: tuple[str, ...]) -> None:
         """Start to exchange views with other nodes.
@@ -200,16 +200,16 @@
         self._failure_handler.join(self.exchange)
         if self._cold_starts is not None:
             self._cold_start_share = FleetShare(
-                peers, SENDERS_OF_A_BACKEND, self._now, by_capacity=by_capacity
+                peers, SENDERS_PER_BACKEND, self._now, by_capacity=by_capacity
             )
-            self._cold_starts.is_sender = self._cold_start_share.holds
+            self._cold_starts.is_sender = self._cold_start_share.is_assigned
         self.exchange.pulls.catch_up_seconds = self.catch_up_seconds
 
     def has_stalled(self, now: float) -> bool:
         """Whether the last call of `advance` is longer ago than STALL_THRESHOLD_SECONDS."""
         return now - self._advanced_at > STALL_THRESHOLD_SECONDS
 
-    def take_stall(self, now: float) -> bool:
+    def consume_stall(self, now: float) -> bool:
         """Return whether the packets that are read next arrived during a stall.
 
         After a stall the event loop may run timers, and with them `advance`, before it reads the
@@ -256,41 +256,41 @@
         """Return and clear the messages to be sent to peers."""
         return [] if self.exchange is None else self.exchange.take_sends()
 
-    def use_limits(self, state: str, before: str, limit: str, share: float) -> None:
+    def apply_limit_state(self, state: str, before: str, limit: str, share: float) -> None:
         """Shed or resume roles on a change of state in `node/own_limits.py`."""
-        self._observer.own_limits(state, before, limit, share)
+        self._observer.limit_state_changed(state, before, limit, share)
         if not self._mechanisms.capacity_roles:
             return
         answers = ANSWER_SHARES[state]
-        self.role.sheds = answers < 1.0
+        self.role.is_shedding = answers < 1.0
         if self._cold_start_share is not None:
-            self._cold_start_share.sheds = answers < 1.0
+            self._cold_start_share.is_shedding = answers < 1.0
         if self.exchange is not None:
-            self.exchange.use_limits(answers)
+            self.exchange.limit_answers(answers)
 
-    def ask_to_stop(self, now: float) -> None:
+    def request_stop(self, now: float) -> None:
         """Wait for a turn to stop, and announce that to the nodes of this zone."""
         if self.exchange is not None:
-            self.exchange.ask_to_stop(now)
+            self.exchange.request_stop(now)
 
-    def may_go_away(self, now: float) -> bool:
+    def may_stop(self, now: float) -> bool:
         """Return whether this node may stop now; True without an exchange or turns to stop."""
         if self.exchange is None or not self._mechanisms.stop_turns:
             return True
-        return self.exchange.may_go_away(now)
+        return self.exchange.may_stop(now)
 
-    def go_away(self, now: float) -> None:
+    def announce_away(self, now: float) -> None:
         """Announce to the nodes of this zone that routers are to avoid this node."""
         if self.exchange is not None:
-            self.exchange.go_away(now)
+            self.exchange.announce_away(now)
 
-    def take_backends(self, changes: tuple[ObjectChange[BackendRecord], ...], now: float) -> None:
+    def apply_backends(self, changes: tuple[ObjectChange[BackendRecord], ...], now: float) -> None:
         """Apply the changes of a store answer and announce the view's revision to peers."""
         self._now = now
         self._apply_backends(changes, FROM_STORE)
         self._note_answer(now)
 
-    def take_configuration(
+    def apply_configuration(
         self, changes: tuple[ObjectChange[RoutingConfiguration], ...], now: float
     ) -> None:
         """Apply the changes of a store answer and announce the view's revision to peers."""
@@ -298,7 +298,7 @@
         self._apply_configuration(changes, FROM_STORE)
         self._note_answer(now)
 
-    def take_evacuations(self, changes: EvacuationChanges, now: float) -> None:
+    def apply_evacuations(self, changes: EvacuationChanges, now: float) -> None:
         """Apply the changes of a store answer and announce the view's revision to peers."""
         self._now = now
         self._apply_evacuations(changes)
@@ -358,7 +358,7 @@
             elif self.router.backends.update(change.record, change.revision, self._now):
                 self._observer.backend_changed(change.record, change.revision, source)
                 self._failure_handler.recheck_listed(change.name, self._now)
-        self.on_progress()
+        self.on_view_changed()
 
     def _apply_configuration(
         self, changes: tuple[ObjectChange[RoutingConfiguration], ...], source: str
@@ -366,19 +366,19 @@
         for change in changes:
             if change.record is None or change.name != self._configuration_name:
                 continue
-            if change.record.tells_terms:
+            if change.record.includes_terms:
                 # A version that came without the routes' terms is no base for differences: what
                 # is derived from it would lack the terms as well.
                 self._configuration_history.note(change.record)
             before = self.router.routes.version
-            if self.router.put_in_force(change.record):
-                self.router.backends.use_services(change.record.services, self._now)
+            if self.router.activate(change.record):
+                self.router.backends.set_services(change.record.services, self._now)
                 if self._cold_starts is not None:
-                    self._cold_starts.use_rates(change.record.warm_ups)
+                    self._cold_starts.set_rates(change.record.warm_ups)
                 version, routes = change.record.version, len(change.record.routes)
                 self._observer.configuration(version, before, routes, source)
                 self._report_unreadable_terms(change.record)
-        self.on_progress()
+        self.on_view_changed()
 
     def _report_unreadable_terms(self, record: RoutingConfiguration) -> None:
         """Count the terms that are replaced by defaults, and report the first such routes."""
--- a/src/beamloom/node/view_codecs.py
+++ b/src/beamloom/node/view_codecs.py
@@ -187,7 +187,7 @@
     """Return the fields of a configuration."""
     routes = [_route_to_list(route) for route in record.routes]
     warm_ups = list(map(list, record.warm_ups))
-    return [record.version, routes, record.idle_seconds, warm_ups, record.tells_terms]
+    return [record.version, routes, record.idle_seconds, warm_ups, record.includes_terms]
 
 
 def configuration_from_list(fields: list[Any]) -> RoutingConfiguration:
@@ -209,7 +209,7 @@
         changed,
         list(difference.removed),
         list(map(list, difference.warm_ups)),
-        difference.tells_terms,
+        difference.includes_terms,
     ]
 
 
--- a/src/beamloom/platform/deploy_file.py
+++ b/src/beamloom/platform/deploy_file.py
@@ -20,9 +20,7 @@
     if not isinstance(roles, Mapping) or not roles:
         return [*faults, "roles is empty: add a table [roles.NAME]"]
     if len(roles) > MAXIMUM_ROLES:
-        faults.append(
-            f"{len(roles)} roles: give at most {MAXIMUM_ROLES}, as a machine runs no more"
-        )
+        faults.append(f"{len(roles)} roles: give at most {MAXIMUM_ROLES}; a machine runs no more")
     served: list[str] = []
     for name, role in roles.items():
         faults.extend(f"roles.{name}: {fault}" for fault in _role_faults(role))
--- a/src/beamloom/platform/store_encoding.py
+++ b/src/beamloom/platform/store_encoding.py
@@ -7,8 +7,8 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 from beamloom.platform.store_objects import BACKEND_KEYS, OBJECTS_PATH, TERM_KEYS
-from beamloom.routing.tokens.backend_fields import plain_backend
-from beamloom.routing.tokens.records import BackendRecord, RoutingConfiguration, plain_terms
+from beamloom.routing.tokens.backend_fields import encode_backend_fields
+from beamloom.routing.tokens.records import BackendRecord, RoutingConfiguration, encode_terms
 from beamloom.settings.token_node import TokenNodeSettings
 from beamloom.units import MILLISECONDS
 
@@ -59,7 +59,7 @@
 
 def encode_backend(record: BackendRecord) -> dict[str, Any]:
     """Return the entry that an endpoint writes for itself."""
-    return {BACKEND_KEYS[field]: value for field, value in plain_backend(record).items()}
+    return {BACKEND_KEYS[field]: value for field, value in encode_backend_fields(record).items()}
 
 
 def encode_configuration(configuration: RoutingConfiguration) -> dict[str, Any]:
@@ -73,7 +73,7 @@
                 "hostname": ".".join(str(byte) for byte in route.destination[:4]),
                 "path-prefix": f"/{int.from_bytes(route.destination[4:], 'big')}/",
                 "split": parts,
-                **{TERM_KEYS[field]: value for field, value in plain_terms(route.terms).items()},
+                **{TERM_KEYS[field]: value for field, value in encode_terms(route.terms).items()},
             }
         )
     return {
--- a/src/beamloom/replication/backend_reports.py
+++ b/src/beamloom/replication/backend_reports.py
@@ -25,7 +25,7 @@
     """The reports of one node, whose id is `reporter`, and those received from others.
 
     `on_silent` and `on_failing` are called with a backend that enough nodes have reported, the time
-    of the report and the current time; `on_sign_of_failure` with each failing backend reported and
+    of the report and the current time; `on_failure_report` with each failing backend reported and
     the time of the report; `on_down` with a backend that another node has found dead and the
     current time.
     """
@@ -33,7 +33,7 @@
     def __init__(self, reporter: str) -> None:
         self.on_silent: Callable[[str, float, float], None] = lambda backend, at, now: None
         self.on_failing: Callable[[str, float, float], None] = lambda backend, at, now: None
-        self.on_sign_of_failure: Callable[[str, float], None] = lambda backend, at: None
+        self.on_failure_report: Callable[[str, float], None] = lambda backend, at: None
         self.on_down: Callable[[str, float], None] = lambda backend, now: None
         self._reporter = reporter
         self._silent = SilenceReports()
@@ -53,32 +53,32 @@
         """Report that this node has found a backend dead."""
         self._down.note(backend)
 
-    def take_digest(self, digest: ViewDigest, now: float) -> None:
+    def add_digest(self, digest: ViewDigest, now: float) -> None:
         """Add the reports of a peer's digest."""
         for backend, reporter, age in digest.silent:
             self._add_silent(SilenceReport(backend, reporter, now - age / MILLISECONDS), now)
         for backend, reporter, age in digest.failing:
             self._add_failing(SilenceReport(backend, reporter, now - age / MILLISECONDS), now)
 
-    def take_down(self, names: list[str], now: float) -> None:
+    def add_down_reports(self, names: list[str], now: float) -> None:
         """Add reports of dead backends from another node."""
         for backend in self._down.take(names, now):
             self.on_down(backend, now)
 
-    def take_down_news(self, now: float) -> list[str]:
+    def take_unsent_down(self, now: float) -> list[str]:
         """Return the dead backends to announce now, each report once."""
-        return self._down.take_news(now)
+        return self._down.take_unsent(now)
 
-    def take_news(self, now: float) -> bool:
+    def take_unsent(self, now: float) -> bool:
         """Return whether new reports are to be announced now, and regard them as announced."""
         if now - self._announced_at < ANNOUNCE_INTERVAL_SECONDS:
             return False
-        silent, failing = self._silent.take_news(), self._failing.take_news()
+        silent, failing = self._silent.take_unsent(), self._failing.take_unsent()
         if silent or failing:
             self._announced_at = now
         return silent or failing
 
-    def told(self, now: float) -> tuple[EncodedReports, EncodedReports]:
+    def for_digest(self, now: float) -> tuple[EncodedReports, EncodedReports]:
         """Return the reports of silent and of failing backends for a digest."""
         return _encode(self._silent, now), _encode(self._failing, now)
 
@@ -87,7 +87,7 @@
             self.on_silent(report.backend, report.at, now)
 
     def _add_failing(self, report: SilenceReport, now: float) -> None:
-        self.on_sign_of_failure(report.backend, report.at)
+        self.on_failure_report(report.backend, report.at)
         if self._failing.note(report, now):
             self.on_failing(report.backend, report.at, now)
 
--- a/src/beamloom/replication/change_pull.py
+++ b/src/beamloom/replication/change_pull.py
@@ -62,7 +62,7 @@
         pending = self._pending
         if pending is None or now < pending.retry_at:
             return []
-        peers = self._peers.some(1)
+        peers = self._peers.sample(1)
         if not peers or pending.attempts >= MAXIMUM_PULL_ATTEMPTS:
             self._pending = None
             return []
--- a/src/beamloom/replication/change_push.py
+++ b/src/beamloom/replication/change_push.py
@@ -45,10 +45,10 @@
             return []
         steps, self._steps = self._steps, []
         size = sum(encoded_size(step) for step in steps)
-        peers = self._peers.some(GOSSIP_FANOUT if size <= BULK_BYTES else BULK_FANOUT)
+        peers = self._peers.sample(GOSSIP_FANOUT if size <= BULK_BYTES else BULK_FANOUT)
         if self._to_every_zone:
             self._to_every_zone = False
-            peers = self._peers.with_every_zone(peers)
+            peers = self._peers.cover_zones(peers)
         messages = self._service.push(steps)
         pause = size * len(peers) / PUSH_BYTES_PER_SECOND
         self._next_push_at = now + max(PUSH_INTERVAL, min(pause, MAXIMUM_PUSH_PAUSE))
--- a/src/beamloom/replication/configuration_replica.py
+++ b/src/beamloom/replication/configuration_replica.py
@@ -174,7 +174,7 @@
             revision, tuple(objects), now + delay, now + delay + SNAPSHOT_FETCH_TIMEOUT
         )
         request = ChangesRequested(self.applied_revision)
-        peers = self._peers.some(JOIN_PEERS) if self.applied_revision else []
+        peers = self._peers.sample(JOIN_PEERS) if self.applied_revision else []
         return [*(SendMessage(peer, request) for peer in peers), *self.poll(now)]
 
     def handle_message(self, sender: NodeId, message: Message, now: float) -> list[Command]:
@@ -338,7 +338,7 @@
     def _offer_digests(self, now: float) -> list[Command]:
         self._digest_at = now + ANTI_ENTROPY_INTERVAL
         digest = self._digest(wants_answer=not self.ready)
-        peers = self._peers.some(1 if self.ready else JOIN_PEERS)
+        peers = self._peers.sample(1 if self.ready else JOIN_PEERS)
         return [SendMessage(peer, digest) for peer in peers]
 
     def _digest(self, wants_answer: bool) -> DigestOffered:
--- a/src/beamloom/replication/down_reports.py
+++ b/src/beamloom/replication/down_reports.py
@@ -41,7 +41,7 @@
             self.note(name)
         return unknown
 
-    def take_news(self, now: float) -> list[str]:
+    def take_unsent(self, now: float) -> list[str]:
         """Remove and return the backends to report now, at most each SEND_INTERVAL_SECONDS."""
         if not self._unsent or now - self._sent_at < SEND_INTERVAL_SECONDS:
             return []
--- a/src/beamloom/replication/fleet_share.py
+++ b/src/beamloom/replication/fleet_share.py
@@ -35,22 +35,22 @@
     """Determines whether this node is one of the `count` nodes that a key belongs to.
 
     `joined_at` is when this node began to contact its peers, in seconds of the monotonic clock.
-    While `sheds` is set, no key belongs to it.
+    While `is_shedding` is set, no key belongs to it.
     """
 
     def __init__(
         self, peers: PeerTable, count: int, joined_at: float, *, by_capacity: bool = True
     ) -> None:
-        self.sheds = False
+        self.is_shedding = False
         self._by_capacity = by_capacity
         self.peers = peers
         self._count = count
         self._joined_at = joined_at
         self._cache: dict[int, _CachedResult] = {}
 
-    def holds(self, key: int, now: float) -> bool:
+    def is_assigned(self, key: int, now: float) -> bool:
         """Return whether a 64-bit key belongs to this node now."""
-        if self.sheds or now - self._joined_at < SETTLING_SECONDS:
+        if self.is_shedding or now - self._joined_at < SETTLING_SECONDS:
             return False
         cached = self._cache.get(key)
         if cached is not None and now - cached.checked_at < CACHE_SECONDS:
--- a/src/beamloom/replication/object_watch.py
+++ b/src/beamloom/replication/object_watch.py
@@ -171,8 +171,8 @@
     def _watched_revision(self) -> int | None:
         return None if self._history_lost else self.view.revision
 
-    def take_page(
-        self, page: ListPage[Record], asked_at: float, *, tells_era: bool = True
+    def handle_page(
+        self, page: ListPage[Record], asked_at: float, *, reports_era: bool = True
     ) -> Changes[Record]:
         """Add one page; return the changes of the whole list after its last page.
 
@@ -198,14 +198,14 @@
         if self._stale_allowed:
             self._pauses.reset()
             return self._apply_stale_list(listing.records)
-        self._reports_era = tells_era
+        self._reports_era = reports_era
         if (
             listing.known_revision is not None
             and listing.revision < listing.known_revision
-            and tells_era
+            and reports_era
         ):
             raise OlderAnswerError(listing.revision, listing.known_revision)
-        if not tells_era and self._implies_restore(listing):
+        if not reports_era and self._implies_restore(listing):
             listing.move_to_era(era_of(self.view.revision or 0) + 1)
         self._pauses.reset()
         return self._apply_list(listing.records, listing.revision, listing.asked_at)
@@ -245,8 +245,8 @@
         self.view.confirm(asked_at)
         return changes
 
-    def take_changes(
-        self, batch: ChangeBatch[Record], now: float, *, tells_era: bool = True
+    def handle_changes(
+        self, batch: ChangeBatch[Record], now: float, *, reports_era: bool = True
     ) -> Changes[Record]:
         """Apply the answer to a watch; the next watch continues from its revision.
 
@@ -255,12 +255,12 @@
         the new era, so changes below the watched number would be missing. Raises OlderAnswerError
         if the answer is of a former era.
         """
-        self._reports_era = tells_era
+        self._reports_era = reports_era
         known = self.view.revision
         if known is not None and era_of(batch.revision) < era_of(known):
             raise OlderAnswerError(batch.revision, known)
         if known is not None and era_of(batch.revision) > era_of(known):
-            self.take_lost_history()
+            self.handle_lost_history()
             return ()
         self._pauses.reset()
         changes = self.view.apply(batch.changes, batch.revision)
@@ -268,14 +268,14 @@
         self.view.confirm(now)
         return changes
 
-    def take_lost_history(self) -> None:
+    def handle_lost_history(self) -> None:
         """List everything again, as the store no longer has the view's revision."""
         self._pauses.reset()
         self._history_lost = True
         self._stale_allowed = False
         self._listing = _Listing()
 
-    def take_failure(self, shared_pause_seconds: float = 0.0) -> float:
+    def handle_failure(self, shared_pause_seconds: float = 0.0) -> float:
         """Record a call without a usable answer; return the seconds to wait before the next.
 
         A watch may have failed because its answer was too large, so a small kind is listed next.
--- a/src/beamloom/replication/peer_selection.py
+++ b/src/beamloom/replication/peer_selection.py
@@ -28,11 +28,11 @@
         for item in others:
             self._zones.setdefault(item.machine.zone.name, []).append(item.machine.node_id)
 
-    def some(self, count: int) -> list[NodeId]:
+    def sample(self, count: int) -> list[NodeId]:
         """Return up to `count` different random peers."""
         return self._rng.sample(self.all, min(count, len(self.all)))
 
-    def with_every_zone(self, chosen: Sequence[NodeId]) -> list[NodeId]:
+    def cover_zones(self, chosen: Sequence[NodeId]) -> list[NodeId]:
         """Return the chosen peers and one of each zone that has none among them."""
         extended = list(chosen)
         for zone in sorted(self._zones):
--- a/src/beamloom/replication/peer_table.py
+++ b/src/beamloom/replication/peer_table.py
@@ -45,9 +45,9 @@
         self._rng = rng
         self._last_seen: dict[str, float] = {}
         self.seeds: list[str] = []
-        self.use_seeds(seeds)
+        self.set_seeds(seeds)
 
-    def use_seeds(self, seeds: Iterable[str]) -> None:
+    def set_seeds(self, seeds: Iterable[str]) -> None:
         """Replace the seeds, the hosts that are contacted while few peers are known."""
         self.seeds = [seed for seed in seeds if seed != self.host]
 
--- a/src/beamloom/replication/reader_role.py
+++ b/src/beamloom/replication/reader_role.py
@@ -47,7 +47,7 @@
 class ReaderRole:
     """The reader role of one node; `reader_id` begins with its rank.
 
-    With `sheds` set it yields the role to another reader.
+    With `is_shedding` set it yields the role to another reader.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         mechanisms: Mechanisms = ALL_MECHANISMS,
     ) -> None:
         self.reading = False
-        self.sheds = False
+        self.is_shedding = False
         self._mechanisms = mechanisms
         self.times = times
         self.reader_id = reader_id
@@ -132,7 +132,7 @@
 
     def _yields_to_other_reader(self, now: float) -> bool:
         """Whether this node sheds load and another reader is known."""
-        return self.sheds and len(self.recent(now).keys() - {self.reader_id}) > 0
+        return self.is_shedding and len(self.recent(now).keys() - {self.reader_id}) > 0
 
     def _should_become_reader(self, now: float, joined: bool) -> bool:
         """Whether too few readers were known for the whole random delay of this node."""
--- a/src/beamloom/replication/secret_exchange.py
+++ b/src/beamloom/replication/secret_exchange.py
@@ -21,14 +21,14 @@
 ANSWER_INTERVAL_SECONDS = 0.2
 
 
-class OpenSend(NamedTuple):
+class OpenMessage(NamedTuple):
     """A message to be sent to the node at `host`, authenticated by no secret."""
 
     host: str
     message: Message
 
 
-class SecretSeeker:
+class SecretRequester:
     """Requests the secret for a node without it; `nonce` holds `NONCE_BYTES` random bytes."""
 
     def __init__(self, nonce: bytes, secret_bytes: int) -> None:
@@ -36,11 +36,11 @@
         self._secret_bytes = secret_bytes
         self._requested_hosts: set[str] = set()
 
-    def requests(self, hosts: Iterable[str]) -> list[OpenSend]:
+    def requests(self, hosts: Iterable[str]) -> list[OpenMessage]:
         """Return requests to `hosts`; to be repeated until there is an answer."""
         targets = sorted(hosts)
         self._requested_hosts.update(targets)
-        return [OpenSend(host, SecretRequest(self._nonce)) for host in targets]
+        return [OpenMessage(host, SecretRequest(self._nonce)) for host in targets]
 
     def take(self, host: str, message: Message) -> bytes | None:
         """Return the secret in a message if it answers a request of this node, else None."""
@@ -51,7 +51,7 @@
         return message.secret if len(message.secret) == self._secret_bytes else None
 
 
-class SecretKeeper:
+class SecretResponder:
     """Answers requests for the `secret` from hosts that were members recently."""
 
     def __init__(self, secret: bytes) -> None:
@@ -64,7 +64,7 @@
         if host in self._members or len(self._members) < MAXIMUM_MEMBERS:
             self._members[host] = now
 
-    def answer(self, host: str, message: Message, now: float) -> OpenSend | None:
+    def answer(self, host: str, message: Message, now: float) -> OpenMessage | None:
         """Return the answer to a request, or None if the host is not answered."""
         if not isinstance(message, SecretRequest) or not isinstance(message.nonce, bytes):
             return None
@@ -73,7 +73,7 @@
         if now - self._answered_at.get(host, float("-inf")) < ANSWER_INTERVAL_SECONDS:
             return None
         self._answered_at[host] = now
-        return OpenSend(host, SecretAnswer(message.nonce, self.secret))
+        return OpenMessage(host, SecretAnswer(message.nonce, self.secret))
 
     def _is_member(self, host: str, now: float) -> bool:
         at = self._members.get(host)
--- a/src/beamloom/replication/shared_secret.py
+++ b/src/beamloom/replication/shared_secret.py
@@ -23,11 +23,11 @@
     CREATE = "create"
 
 
-MAKE_AFTER_SECONDS = 0.15
+CREATE_DELAY_SECONDS = 0.15
 """Delay before a node creates a secret, in which peers can supply one that the store has lost. It
 is long compared with a round trip and short compared with a start.
 """
-MAKE_LATER_SECONDS = 1.5
+RECREATE_DELAY_SECONDS = 1.5
 """The same if the fleet has started before or its store was restored. The secret has been lost, and
 each connected node has time to write it back; a second secret would split the fleet meanwhile.
 """
@@ -57,30 +57,30 @@
         return self._pauses.failures
 
     @property
-    def is_of_restored_store(self) -> bool:
+    def store_was_restored(self) -> bool:
         """Whether the store's era shows that it was restored from an older copy."""
         return self.era is not None and self.era > FIRST_ERA
 
-    def make_after_seconds(self, *, first_start: bool) -> float:
+    def create_delay_seconds(self, *, first_start: bool) -> float:
         """Return how long to wait for a secret from peers before creating a new one."""
-        is_lost = self.is_of_restored_store or not first_start
-        return MAKE_LATER_SECONDS if is_lost else MAKE_AFTER_SECONDS
+        is_lost = self.store_was_restored or not first_start
+        return RECREATE_DELAY_SECONDS if is_lost else CREATE_DELAY_SECONDS
 
-    def take_secret(self, value: bytes) -> None:
+    def handle_secret(self, value: bytes) -> None:
         """Set the secret that was read."""
         self.value = value
 
-    def take_absent(self) -> None:
+    def handle_absent(self) -> None:
         """Handle a missing object: follow a stale read by a current one, and that by a creation."""
         self.found_none = True
         is_stale = self.step is SecretStep.READ_STALE
         self.step = SecretStep.READ if is_stale else SecretStep.CREATE
 
-    def take_created(self) -> None:
+    def handle_created(self) -> None:
         """Read the object next, as it exists now, whichever node created it."""
         self.step = SecretStep.READ
 
-    def take_failure(self) -> float:
+    def handle_failure(self) -> float:
         """Record a call without a usable answer; return the seconds to wait before the next one."""
         if self.step is not SecretStep.READ_STALE:
             self.step = SecretStep.READ
--- a/src/beamloom/replication/shared_view.py
+++ b/src/beamloom/replication/shared_view.py
@@ -106,7 +106,7 @@
             self._cache[key] = pack(self._codec.encode(delta, base))
         return self._cache[key]
 
-    def note_ahead(self, revision: int, at: float) -> None:
+    def note_pending_confirmation(self, revision: int, at: float) -> None:
         """Record that a revision not reached here yet was current at a time.
 
         The confirmation then takes effect with the merge instead of the next digest; otherwise
--- a/src/beamloom/replication/silence_reports.py
+++ b/src/beamloom/replication/silence_reports.py
@@ -49,7 +49,7 @@
             self._has_unsent = True
         return len(reporters) >= REPORTERS_NEEDED
 
-    def take_news(self) -> bool:
+    def take_unsent(self) -> bool:
         """Return whether reports were added since the last call."""
         has_unsent, self._has_unsent = self._has_unsent, False
         return has_unsent
--- a/src/beamloom/replication/stop_turns.py
+++ b/src/beamloom/replication/stop_turns.py
@@ -12,7 +12,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-HESITATION_SECONDS = 0.06
+ANNOUNCEMENT_DELAY_SECONDS = 0.06
 """Delay before a node stops, in which digests of nodes that are asked at the same time arrive."""
 AWAY_TIMEOUT_SECONDS = 3.5
 """A node that has been away for longer no longer counts as away."""
@@ -47,24 +47,25 @@
         elif host not in self._stops or self._stops[host].state is not state:
             self._stops[host] = _Stop(state, now)
 
-    def ask(self, now: float) -> None:
+    def request_stop(self, now: float) -> None:
         """Record that this node was asked to stop."""
         if self.state is StopState.SERVING:
             self.state = StopState.WAITING
             self._requested_at = now
 
-    def may_go(self, zone_nodes: int, now: float) -> bool:
+    def may_stop(self, zone_nodes: int, now: float) -> bool:
         """Return whether this node may stop, in a zone of `zone_nodes` nodes including itself.
 
         Up to half of the nodes, and at least one, may be away. Nodes stop in the order in which
-        they were asked; of those asked within `HESITATION_SECONDS`, the lower host is first.
+        they were asked; of those asked within `ANNOUNCEMENT_DELAY_SECONDS`, the lower host is
+        first.
         """
-        if now - self._requested_at < HESITATION_SECONDS:
+        if now - self._requested_at < ANNOUNCEMENT_DELAY_SECONDS:
             return False
         before = sum(self._precedes(host, stop, now) for host, stop in self._stops.items())
         return before < max(1, zone_nodes // 2)
 
-    def go(self) -> None:
+    def start_stop(self) -> None:
         """Record that this node stops; it is away until it has restarted."""
         self.state = StopState.AWAY
 
@@ -72,6 +73,6 @@
         if stop.state is StopState.AWAY:
             return now - stop.recorded_at < AWAY_TIMEOUT_SECONDS
         earlier_seconds = self._requested_at - stop.recorded_at
-        if abs(earlier_seconds) < HESITATION_SECONDS:
+        if abs(earlier_seconds) < ANNOUNCEMENT_DELAY_SECONDS:
             return host < self._host
         return earlier_seconds > 0
--- a/src/beamloom/replication/store_call_schedule.py
+++ b/src/beamloom/replication/store_call_schedule.py
@@ -130,7 +130,7 @@
         self._role.note_failure(now)
         lacks_list = self._watch.must_list and not self._watch.holds_stale
         is_urgent = lacks_list or (self._role.reading and self._role.answered)
-        return self._watch.take_failure(0.0 if is_urgent else self._role.shared_pause_seconds())
+        return self._watch.handle_failure(0.0 if is_urgent else self._role.shared_pause_seconds())
 
     def discard_confirmation(self) -> None:
         """Discard the confirmation, as after a stall, which makes old messages look recent."""
--- a/src/beamloom/replication/view_exchange.py
+++ b/src/beamloom/replication/view_exchange.py
@@ -92,7 +92,7 @@
         self._discovered_at = float("-inf")
         self._replied_at: dict[str, float] = {}
 
-    def use_limits(self, answer_share: float) -> None:
+    def limit_answers(self, answer_share: float) -> None:
         """Limit answers to peers to this share (0 to 1) of the usual bytes.
 
         Below 1 the node advertises the least capacity, so that peers give roles to other nodes.
@@ -112,7 +112,7 @@
         self._forward_down_reports(now)
 
     def _forward_down_reports(self, now: float) -> None:
-        names = self.reports.take_down_news(now)
+        names = self.reports.take_unsent_down(now)
         if names:
             message = BackendsDown(names)
             hosts = self._choose(FORWARD_PEERS)
@@ -121,7 +121,7 @@
 
     def advance(self, now: float) -> None:
         """Send what is due: reports, requests, probes for late confirmations and the heartbeat."""
-        if self.reports.take_news(now):
+        if self.reports.take_unsent(now):
             self.announce(now)
         self._forward_down_reports(now)
         self.pulls.advance(now)
@@ -175,18 +175,18 @@
         """
         return not self._by_capacity or len(self.peers) <= DISCOVERY_PEERS
 
-    def ask_to_stop(self, now: float) -> None:
+    def request_stop(self, now: float) -> None:
         """Queue this node's stop, and notify the peers of its zone."""
-        self.stops.ask(now)
+        self.stops.request_stop(now)
         self._send_digest(self.peers.own_zone_hosts(), now)
 
-    def may_go_away(self, now: float) -> bool:
+    def may_stop(self, now: float) -> bool:
         """Return whether it is this node's turn to stop."""
-        return self.stops.may_go(len(self.peers.own_zone_hosts()) + 1, now)
+        return self.stops.may_stop(len(self.peers.own_zone_hosts()) + 1, now)
 
-    def go_away(self, now: float) -> None:
+    def announce_away(self, now: float) -> None:
         """Mark this node as away, and notify the peers of its zone."""
-        self.stops.go()
+        self.stops.start_stop()
         self._send_digest(self.peers.own_zone_hosts(), now)
 
     def handle(self, host: str, message: Message, now: float) -> None:
@@ -202,7 +202,7 @@
             case ViewPart():
                 self.pulls.handle_part(host, message, now)
             case BackendsDown():
-                self.reports.take_down(message.names, now)
+                self.reports.add_down_reports(message.names, now)
         self._forward_down_reports(now)
 
     def _note_peer(self, host: str, at: float, now: float) -> bool:
@@ -216,7 +216,7 @@
         self._note_capacities(host, digest)
         if digest.zone == self.peers.zone:
             self._note_stop_state(host, digest.stop, now)
-        self.reports.take_digest(digest, now)
+        self.reports.add_digest(digest, now)
         for peer, age in digest.peers:
             self._note_peer(peer, now - age / MILLISECONDS, now)
         peer_is_behind = False
@@ -233,7 +233,7 @@
             if revision > own:
                 shared.behind_since = now if shared.behind_since is None else shared.behind_since
                 if age != NEVER:
-                    shared.note_ahead(revision, now - age / MILLISECONDS)
+                    shared.note_pending_confirmation(revision, now - age / MILLISECONDS)
                 self.pulls.request(host, index, revision, now)
             elif revision < own:
                 peer_is_behind = True
@@ -327,7 +327,7 @@
         sample = self.peers.sample(now) if names_peers else []
         peers = [(host, int(age * MILLISECONDS)) for host, age in sample]
         ranks = [self.peers.rank_of(host) for host, _ in peers]
-        silent, failing = self.reports.told(now)
+        silent, failing = self.reports.for_digest(now)
         return ViewDigest(
             views,
             readers,
--- a/src/beamloom/routing/tokens/backend_fields.py
+++ b/src/beamloom/routing/tokens/backend_fields.py
@@ -57,7 +57,7 @@
     )
 
 
-def plain_backend(record: BackendRecord) -> dict[str, object]:
+def encode_backend_fields(record: BackendRecord) -> dict[str, object]:
     """Return the fields that `read_backend` reads, without `born_at` if it is unknown."""
     values: dict[str, object] = {
         "service": record.service,
--- a/src/beamloom/routing/tokens/backend_table.py
+++ b/src/beamloom/routing/tokens/backend_table.py
@@ -32,8 +32,8 @@
 
     Failures: `failures` counts consecutive unanswered openings. New flows avoid a backend until
     `suspect_until`, as it does not answer, and until `failing_until`, as it answers with errors;
-    `failing_spells` counts relapses soon after such a time. Flows whose requests must not run twice
-    avoid it until `doubted_until`.
+    `failing_relapses` counts relapses soon after such a time. Flows whose requests must not run
+    twice avoid it until `doubted_until`.
 
     Liveness: `answered_at` is when it last answered an opening, `last_alive_at` when it last showed
     any sign of life. A check found it dead at `down_since`; with `was_refused`, a connection was
@@ -41,7 +41,7 @@
     in a row with the same result.
 
     Record: `revision` is that of its last store record. `gone_at` is when the store stopped listing
-    it. With `ended`, a later incarnation has its address; with `forgotten`, it was removed from the
+    it. With `ended`, a later incarnation has its address; with `removed`, it was removed from the
     table; with `evacuated`, operators evacuate its zone. This node learned at `known_since` that
     the backend had restarted under its name.
 
@@ -57,10 +57,9 @@
         "down_since",
         "ended",
         "evacuated",
-        "failing_spells",
+        "failing_relapses",
         "failing_until",
         "failures",
-        "forgotten",
         "gone_at",
         "known_since",
         "last_alive_at",
@@ -70,6 +69,7 @@
         "pending",
         "presumed_cold_until",
         "record",
+        "removed",
         "repeated_outcomes",
         "reported_cold_until",
         "revision",
@@ -93,7 +93,7 @@
         self.zone_return_cold_until = float("-inf")
         self.zone_returned_at: int | None = None
         self.gone_at: float | None = None
-        self.forgotten = False
+        self.removed = False
         self.pending = 0
         self.open = 0
         self.busy = 0
@@ -104,14 +104,14 @@
         self.pace = AnswerPace()
         self.last_alive_at = float("-inf")
         self.failing_until = float("-inf")
-        self.failing_spells = 0
+        self.failing_relapses = 0
         self.doubted_until = float("-inf")
         self.down_since: float | None = None
         self.next_check_at = float("-inf")
         self.repeated_outcomes = 0
         self.was_refused = False
 
-    def doubt(self, until: float) -> None:
+    def mark_doubted(self, until: float) -> None:
         """Let flows whose requests must not run twice avoid it, if enough others can take them."""
         self.doubted_until = max(self.doubted_until, until)
 
@@ -182,7 +182,7 @@
 
         At most MAXIMUM_FAILING_FRACTION of a service is avoided: more failures have another cause.
         """
-        backend = self.find_alive_since(name, since)
+        backend = self.find_unless_restarted(name, since)
         if backend is None or backend.failing_until >= until:
             return None
         is_new = backend.failing_until < now
@@ -197,7 +197,7 @@
         """Return the backend of a name, or None."""
         return self._by_name.get(name)
 
-    def find_alive_since(self, name: str, since: float) -> Backend | None:
+    def find_unless_restarted(self, name: str, since: float) -> Backend | None:
         """Return the backend of a name, unless it restarted after an observation at `since`."""
         backend = self._by_name.get(name)
         return None if backend is None or since < backend.known_since else backend
@@ -217,7 +217,7 @@
         service is avoided: if more are silent, there is another cause, and the remaining backends
         would be overloaded.
         """
-        backend = self.find_alive_since(name, since)
+        backend = self.find_unless_restarted(name, since)
         if backend is None or backend.answered_at >= since or backend.suspect_until >= until:
             return None
         peers = [other for other in self.of_service(backend.record.service) if other.takes_flows]
@@ -227,7 +227,7 @@
         backend.suspect_until = until
         return backend
 
-    def use_services(self, services: frozenset[str], now: float) -> None:
+    def set_services(self, services: frozenset[str], now: float) -> None:
         """Set the services of the configuration; before the first call, any service is accepted."""
         if services == self._services:
             return
@@ -236,7 +236,7 @@
             if backend.gone_at is None:
                 self._claim_address(backend, now)
 
-    def use_warm_ups(self, warm_ups: Iterable[ServiceWarmUp]) -> None:
+    def set_warm_ups(self, warm_ups: Iterable[ServiceWarmUp]) -> None:
         """Set how long backends of each service may be cold."""
         self._warm_up_seconds = {warm_up.service: warm_up.seconds for warm_up in warm_ups}
 
@@ -277,7 +277,7 @@
             return True
         if not known.ended:
             self._claim_address(known, now)
-        if known.record.tells_same(record) and not was_gone:
+        if known.record.has_same_content(record) and not was_gone:
             known.record = record
             return False
         known.note_warm_up(record, now)
@@ -285,7 +285,7 @@
         known.evacuated = record.zone in self._evacuated_zones
         return True
 
-    def note_process_began(self, backend: Backend, now: float) -> None:
+    def presume_cold(self, backend: Backend, now: float) -> None:
         """Presume a backend cold whose process was down and can be reached again.
 
         It has restarted, and this node may reach it before it receives the new record.
@@ -352,7 +352,7 @@
         record = backend.record
         del self._by_name[record.name]
         self._by_service[record.service].remove(backend)
-        backend.forgotten = True
+        backend.removed = True
         self._forget_bucket(backend)
         if self._by_address.get(record.address) is backend:
             del self._by_address[record.address]
--- a/src/beamloom/routing/tokens/cold_starts.py
+++ b/src/beamloom/routing/tokens/cold_starts.py
@@ -15,7 +15,7 @@
 from beamloom.routing.tokens.records import ServiceWarmUp
 from beamloom.settings.token_node import ColdStartLimits
 
-SENDERS_OF_A_BACKEND = 2
+SENDERS_PER_BACKEND = 2
 """Nodes that may open flows at one cold backend; more than one, as the first may be down."""
 DISAGREEMENT_FACTOR = 2
 """How many times as many nodes may act as senders while views of the fleet differ."""
@@ -36,7 +36,7 @@
         self._rates: dict[str, float] = {}
         self._opened: dict[str, deque[float]] = {}
 
-    def use_rates(self, warm_ups: Iterable[ServiceWarmUp]) -> None:
+    def set_rates(self, warm_ups: Iterable[ServiceWarmUp]) -> None:
         """Set the request rate that a cold backend of each service may get."""
         self._rates = {warm_up.service: warm_up.requests_per_second for warm_up in warm_ups}
 
@@ -55,7 +55,7 @@
         """Return how many flows this node may open at a cold backend within WINDOW_SECONDS."""
         rate = self._rates.get(service, 0.0)
         allowed = rate * self._limits.excess_factor + self._limits.slack_requests
-        return int(allowed / (SENDERS_OF_A_BACKEND * DISAGREEMENT_FACTOR))
+        return int(allowed / (SENDERS_PER_BACKEND * DISAGREEMENT_FACTOR))
 
     def _recent(self, backend: Backend, now: float) -> deque[float]:
         recent = self._opened.get(backend.record.name)
--- a/src/beamloom/routing/tokens/configuration_history.py
+++ b/src/beamloom/routing/tokens/configuration_history.py
@@ -27,7 +27,7 @@
     changed: tuple[RouteRecord, ...]
     removed: tuple[str, ...]
     warm_ups: tuple[ServiceWarmUp, ...] = ()
-    tells_terms: bool = True
+    includes_terms: bool = True
 
 
 def difference_between(
@@ -42,7 +42,7 @@
         tuple(route for route in target.routes if before.get(route.name) != route),
         tuple(name for name in before if name not in names),
         target.warm_ups,
-        target.tells_terms,
+        target.includes_terms,
     )
     return difference if apply_difference(base, difference) == target else None
 
@@ -61,7 +61,7 @@
         tuple(routes.values()),
         difference.idle_seconds,
         difference.warm_ups,
-        difference.tells_terms,
+        difference.includes_terms,
     )
 
 
--- a/src/beamloom/routing/tokens/flow_observer.py
+++ b/src/beamloom/routing/tokens/flow_observer.py
@@ -109,8 +109,8 @@
     `opening_timeout_seconds` grows when an answer arrives after the timeout, as with distant
     clients. `on_unanswered` is called for each unanswered opening, `on_suspicion` for each sign
     that a backend may be dead, and `on_short_answer` for each answer that may be an error.
-    `on_overdue` is called for requests that are unanswered after the seconds that `find_patience`
-    returns for their destination; None means no limit.
+    `on_overdue` is called for requests that are unanswered after the seconds that
+    `find_answer_timeout` returns for their destination; None means no limit.
     """
 
     def __init__(self, on_decision: Callable[[Decision], None]) -> None:
@@ -120,7 +120,7 @@
         self.on_unanswered: Callable[[Backend, float], None] = lambda backend, now: None
         self.on_short_answer: Callable[[Backend, float], None] = lambda backend, now: None
         self.on_overdue: Callable[[Backend, float], None] = lambda backend, now: None
-        self.find_patience: Callable[[bytes], float | None] = lambda destination: None
+        self.find_answer_timeout: Callable[[bytes], float | None] = lambda destination: None
         self._sizes = AnswerSizes()
         self._answer_deadlines = AnswerDeadlines()
         self.on_suspicion: Callable[[Backend, Suspicion, float], None] = lambda *_: None
@@ -155,7 +155,7 @@
             self._release_load(flow)
         return [(key, flow.acknowledged) for key, flow in ended]
 
-    def next_judgement(self) -> float | None:
+    def next_deadline(self) -> float | None:
         """Return when `advance` has the next opening or request to check, or None."""
         queues = (self._opening_checks, self._opening_timeouts, self._request_checks)
         times = [waiting[0][0] for waiting in queues if waiting]
@@ -290,7 +290,7 @@
             self._end_stall(flow)
             flow.sequence = packet.sequence
             flow.requested_at = now
-            limit_seconds = self.find_patience(packet.destination)
+            limit_seconds = self.find_answer_timeout(packet.destination)
             flow.due_at = None if limit_seconds is None else now + limit_seconds
             self._request_checks.append((now + QUIET_SECONDS, packet.flow, packet.sequence))
             return
--- a/src/beamloom/routing/tokens/liveness.py
+++ b/src/beamloom/routing/tokens/liveness.py
@@ -1,8 +1,8 @@
 """Schedules TCP checks of backends that may be dead, and applies their outcomes.
 
-Without I/O: `begin` is called for each check to make, and `take` receives its outcome. Suspicions
-are cheap and often wrong (an unanswered opening, a repeated request, a report of another node);
-flows are ended only on the outcome of this node's own check.
+Without I/O: `start_check` is called for each check to make, and `apply_outcome` receives its
+outcome. Suspicions are cheap and often wrong (an unanswered opening, a repeated request, a report
+of another node); flows are ended only on the outcome of this node's own check.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self.counters: Counter[str] = Counter()
-        self.begin: Callable[[Backend], None] = lambda backend: None
+        self.start_check: Callable[[Backend], None] = lambda backend: None
         self.on_down: Callable[[Backend, CheckOutcome, float], None] = lambda *_: None
         self.on_up: Callable[[Backend, float], None] = lambda *_: None
         self._running: dict[str, float] = {}
@@ -70,12 +70,7 @@
     def suspect(self, backend: Backend, suspicion: Suspicion, now: float) -> None:
         """Request a check of a backend, unless one is running or was made too recently."""
         name = backend.record.name
-        if (
-            backend.forgotten
-            or backend.ended
-            or name in self._running
-            or now < backend.next_check_at
-        ):
+        if backend.removed or backend.ended or name in self._running or now < backend.next_check_at:
             return
         self.counters[f"suspected_{suspicion.value}"] += 1
         backend.next_check_at = now + RECHECK_SECONDS
@@ -92,11 +87,11 @@
         backend.next_check_at = now
         self.suspect(backend, Suspicion.RECHECK, now)
 
-    def take(self, backend: Backend, outcome: CheckOutcome, now: float) -> None:
+    def apply_outcome(self, backend: Backend, outcome: CheckOutcome, now: float) -> None:
         """Apply the outcome of a check."""
         began_at = self._running.pop(backend.record.name, now)
         self._start_next(now)
-        if backend.forgotten or backend.ended:
+        if backend.removed or backend.ended:
             return
         if outcome is CheckOutcome.SILENT and backend.last_alive_at >= began_at:
             outcome = CheckOutcome.UNCLEAR
@@ -129,12 +124,12 @@
 
     def _start(self, backend: Backend, now: float) -> None:
         self._running[backend.record.name] = now
-        self.begin(backend)
+        self.start_check(backend)
 
     def _start_next(self, now: float) -> None:
         while self._queued and len(self._running) < MAXIMUM_CONCURRENT_CHECKS:
             backend = self._queued.pop(next(iter(self._queued)))
-            if not backend.forgotten and not backend.ended:
+            if not backend.removed and not backend.ended:
                 self._start(backend, now)
 
     def _note_alive(self, backend: Backend, now: float) -> None:
@@ -166,7 +161,7 @@
 
 def _needs_recheck(backend: Backend) -> bool:
     """Whether another check may affect flows."""
-    if backend.forgotten or backend.ended:
+    if backend.removed or backend.ended:
         return False
     if backend.gone_at is not None:
         return backend.down_since is None and backend.open > 0
--- a/src/beamloom/routing/tokens/placement.py
+++ b/src/beamloom/routing/tokens/placement.py
@@ -22,8 +22,8 @@
 PROPAGATION_SECONDS = 1.0
 """Upper estimate of the time until a change of a backend reaches a node."""
 MINIMUM_UNDOUBTED_FRACTION = 0.5
-"""If a smaller fraction of the candidates is free of doubt, doubt is ignored: its cause is then
-probably load, and the few other backends could not take all flows.
+"""If a smaller fraction of the candidates is not marked doubted, the marks are ignored: their cause
+is then probably load, and the few other backends could not take all flows.
 """
 HIGHEST_PRIORITY = 0
 """Priority of the most urgent routes; higher numbers are less urgent (the platform's protocol)."""
--- a/src/beamloom/routing/tokens/records.py
+++ b/src/beamloom/routing/tokens/records.py
@@ -45,7 +45,7 @@
         """Address for its datagrams, as sockets expect it."""
         return (self.host, self.port)
 
-    def tells_same(self, other: BackendRecord) -> bool:
+    def has_same_content(self, other: BackendRecord) -> bool:
         """Whether another record has the same content, apart from `sequence`.
 
         With a warm-up, `sequence` counts too: a repeated report may be of a new warm-up.
@@ -107,7 +107,7 @@
     return RouteTerms(**fields, unreadable=tuple(unreadable))
 
 
-def plain_terms(terms: RouteTerms) -> dict[str, object]:
+def encode_terms(terms: RouteTerms) -> dict[str, object]:
     """Return the values that `read_terms` reads; times that are not set are omitted."""
     values: dict[str, object] = {"kind": terms.kind.value, "priority": terms.priority}
     if terms.timeout_seconds is not None:
@@ -176,14 +176,14 @@
 class RoutingConfiguration(NamedTuple):
     """One version of the routes. A flow that is idle for `idle_seconds` may be forgotten.
 
-    Without `tells_terms`, it came through a node of a release without terms of routes.
+    Without `includes_terms`, it came through a node of a release without terms of routes.
     """
 
     version: int
     routes: tuple[RouteRecord, ...]
     idle_seconds: float = DEFAULT_IDLE_SECONDS
     warm_ups: tuple[ServiceWarmUp, ...] = ()
-    tells_terms: bool = True
+    includes_terms: bool = True
 
     @property
     def services(self) -> frozenset[str]:
--- a/src/beamloom/routing/tokens/route_table.py
+++ b/src/beamloom/routing/tokens/route_table.py
@@ -55,7 +55,7 @@
         """The active version; -1 before the first."""
         return -1 if self.configuration is None else self.configuration.version
 
-    def put_in_force(self, configuration: RoutingConfiguration) -> bool:
+    def activate(self, configuration: RoutingConfiguration) -> bool:
         """Activate a configuration if it is newer than the active one; return whether it is."""
         if configuration.version <= self.version:
             return False
--- a/src/beamloom/routing/tokens/router.py
+++ b/src/beamloom/routing/tokens/router.py
@@ -60,7 +60,7 @@
 """
 
 
-def ignore_decision(_decision: Decision) -> None:
+def discard_decision(_decision: Decision) -> None:
     """Discard a decision."""
 
 
@@ -70,24 +70,24 @@
     `on_decision` receives each decision of `decisions.py`. All packets are dropped until `codec` is
     set. `may_refuse` must be False while routes and backends may be out of date: opening packets
     that would be refused are then dropped, and a later copy is decided by the view at that time.
-    With `moves_copies`, a copy of an opening packet goes to another backend, and with
-    `leaves_zones` preferably in another zone. With `refuses_too_late`, a client that does not wait
-    until its next copy is refused instead of waiting for cold backends. `resets` queues the resets
-    of flows that end without a packet from the client.
+    With `retries_other_backend`, a copy of an opening packet goes to another backend, and with
+    `retries_other_zone` preferably in another zone. With `refuses_on_timeout`, a client that does
+    not wait until its next copy is refused instead of waiting for cold backends. `resets` queues
+    the resets of flows that end without a packet from the client.
     """
 
     def __init__(
         self,
         placement: Placement,
-        on_decision: Callable[[Decision], None] = ignore_decision,
+        on_decision: Callable[[Decision], None] = discard_decision,
         *,
-        moves_copies: bool = True,
-        leaves_zones: bool = True,
-        refuses_too_late: bool = True,
+        retries_other_backend: bool = True,
+        retries_other_zone: bool = True,
+        refuses_on_timeout: bool = True,
     ) -> None:
-        self._moves_copies = moves_copies
-        self._leaves_zones = leaves_zones
-        self._refuses_too_late = refuses_too_late
+        self._retries_other_backend = retries_other_backend
+        self._retries_other_zone = retries_other_zone
+        self._refuses_on_timeout = refuses_on_timeout
         self.codec: TokenCodec | None = None
         self.may_refuse = True
         self.routes = RouteTable(placement.rng)
@@ -100,18 +100,18 @@
         self._placement = placement
         placement.counters = self.counters
 
-    def put_in_force(self, configuration: RoutingConfiguration) -> bool:
+    def activate(self, configuration: RoutingConfiguration) -> bool:
         """Activate a configuration if it is newer than the active one; return whether it is."""
-        taken = self.routes.put_in_force(configuration)
+        taken = self.routes.activate(configuration)
         if taken:
             self.flows.idle_seconds = configuration.idle_seconds
-            self.backends.use_warm_ups(configuration.warm_ups)
+            self.backends.set_warm_ups(configuration.warm_ups)
             self._placement.reserving_services = configuration.services_of_priority(
                 HIGHEST_PRIORITY
             )
         return taken
 
-    def find_patience(self, destination: bytes) -> float | None:
+    def find_answer_timeout(self, destination: bytes) -> float | None:
         """Return after how many seconds an answer is overdue, or None without an objective."""
         route = self.routes.find(destination)
         if route is None or route.record.terms.objective_seconds is None:
@@ -136,7 +136,7 @@
         if route is None:
             return self._refuse_opening(packet, RefusalReason.NO_ROUTE)
         flow = self.flows.find(packet.flow)
-        if flow is not None and flow.backend.forgotten:
+        if flow is not None and flow.backend.removed:
             self.flows.forget(packet.flow)
             flow = None
         if flow is not None and flow.opened:
@@ -185,7 +185,7 @@
         Only the first packet is checked: another node may have forwarded an earlier copy.
         """
         timeout = route.record.terms.timeout_seconds
-        if not self._refuses_too_late or timeout is None or packet.acknowledged:
+        if not self._refuses_on_timeout or timeout is None or packet.acknowledged:
             return True
         if timeout > FIRST_COPY_SECONDS:
             return True
@@ -198,7 +198,7 @@
             return False
         if now - flow.placed_at < MINIMUM_COPY_INTERVAL_SECONDS:
             return True
-        return not self._moves_copies and flow.backend.takes_flows
+        return not self._retries_other_backend and flow.backend.takes_flows
 
     def _prior_attempts(self, flow: ObservedFlow | None) -> PriorAttempts:
         """Return the backends that did not answer the flow's opening packets, and their zones."""
@@ -206,7 +206,7 @@
             return NO_PRIOR_ATTEMPTS
         backends = [*flow.tried, flow.backend]
         zones = (backend.record.zone for backend in backends)
-        return PriorAttempts(backends, frozenset(zones if self._leaves_zones else ()))
+        return PriorAttempts(backends, frozenset(zones if self._retries_other_zone else ()))
 
     def _choose(self, route: ActiveRoute, tried: PriorAttempts, now: float) -> Backend | None:
         for part in route.next_parts():
@@ -221,7 +221,7 @@
         if token == NO_TOKEN:
             return self._drop(packet, DropReason.NO_TOKEN)
         flow = self.flows.find(packet.flow)
-        if flow is not None and flow.token == token and not flow.backend.forgotten:
+        if flow is not None and flow.token == token and not flow.backend.removed:
             backend = flow.backend
         else:
             candidates = self.backends.candidates(token)
@@ -323,4 +323,4 @@
 
     The present incarnation resets such a flow, so its packets are not counted for the backend.
     """
-    return flow.backend.forgotten and flow.backend.record.name == backend.record.name
+    return flow.backend.removed and flow.backend.record.name == backend.record.name
--- a/src/beamloom/runtime/backend_check.py
+++ b/src/beamloom/runtime/backend_check.py
@@ -28,7 +28,7 @@
         self._local_host = local_host
         self._on_done = on_done
         self._tasks: set[asyncio.Task[None]] = set()
-        checks.begin = self._start
+        checks.start_check = self._start
 
     def close(self) -> None:
         """Cancel the running checks."""
@@ -46,7 +46,7 @@
             outcome = await _connect(backend.record.address, self._local_host)
             if outcome is not CheckOutcome.SILENT:
                 break
-        self._checks.take(backend, outcome, asyncio.get_running_loop().time())
+        self._checks.apply_outcome(backend, outcome, asyncio.get_running_loop().time())
         self._on_done()
 
 
--- a/src/beamloom/runtime/decision_log.py
+++ b/src/beamloom/runtime/decision_log.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from beamloom.model.store_revision import number_of
-from beamloom.node.belief_observer import BeliefObserver
+from beamloom.node.node_observer import NodeObserver
 from beamloom.routing.tokens.decisions import (
     Decision,
     FlowPlaced,
@@ -27,7 +27,7 @@
 ReadAge = Callable[[], float | None]
 
 
-class DecisionLog(BeliefObserver):
+class DecisionLog(NodeObserver):
     """Writes decisions and events; `view_age` returns the age of the view of the backends in s."""
 
     def __init__(
@@ -136,7 +136,7 @@
         """Record an evacuation that names no zone of this deployment and has no effect."""
         self._log.record("EvacuationOfUnknownZone", {"zone": zone})
 
-    def suspected(self, backend: str, service: str, age: float) -> None:
+    def backend_suspected(self, backend: str, service: str, age: float) -> None:
         """Record that several nodes found a backend silent, the last one `age` seconds ago."""
         fields: dict[str, FieldValue] = {
             "backend": backend,
@@ -178,7 +178,7 @@
         """Record that a peer announced unusable capacity figures; these fields count as least."""
         self._log.record("UnusableCapacity", {"host": host, "taken_as_least": ", ".join(fields)})
 
-    def own_limits(self, state: str, before: str, limit: str, share: float) -> None:
+    def limit_state_changed(self, state: str, before: str, limit: str, share: float) -> None:
         """Record that this node gives up roles near one of its limits, or resumes them."""
         self._log.record(
             "OwnLimits",
@@ -219,7 +219,7 @@
         """Record that a dependency responds again, after `failures` failed calls."""
         self._log.record("DependencyRegained", {"dependency": dependency, "failures": failures})
 
-    def life(self, event: str, **fields: FieldValue) -> None:
+    def lifecycle(self, event: str, **fields: FieldValue) -> None:
         """Record any other event of the process, such as a start, stop or reload."""
         self._log.record(event, fields)
 
--- a/src/beamloom/runtime/fleet_secret.py
+++ b/src/beamloom/runtime/fleet_secret.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from beamloom.protocol.messages import Message
-    from beamloom.replication.secret_exchange import SecretKeeper, SecretSeeker
+    from beamloom.replication.secret_exchange import SecretRequester, SecretResponder
     from beamloom.runtime.peer_link import PeerLink
 
 ASK_PEERS_AFTER_SECONDS = 0.9
@@ -34,7 +34,7 @@
 ASK_PEERS_INTERVAL_SECONDS = 0.3
 """Retry interval: several times a peer's response time, so a missing answer was probably lost."""
 POLL_SECONDS = 0.02
-"""How often the progress of the store's calls is polled; a fraction of MAKE_AFTER_SECONDS."""
+"""How often the progress of the store's calls is polled; a fraction of CREATE_DELAY_SECONDS."""
 CHECK_SPREAD_SECONDS = 1.0
 """Random delay of a check after a restore, so that not all nodes call the store at once. Readers
 check immediately; a node that starts meanwhile asks its peers.
@@ -79,8 +79,8 @@
         self._open_link = open_link
         self._decisions = decisions
         self._asks_peers = asks_peers
-        self._seeker: SecretSeeker | None = None
-        self._keeper: SecretKeeper | None = None
+        self._requester: SecretRequester | None = None
+        self._responder: SecretResponder | None = None
         self._from_peer: asyncio.Future[bytes] | None = None
         self._era: int | None = None
         self._check_needed = asyncio.Event()
@@ -101,14 +101,14 @@
             self._connection.close()
         self._set_current(done.pop().result())
         from_peer = store not in done and self._from_peer is not None
-        self._decisions.life("SecretKnown", source="peer" if from_peer else "store")
+        self._decisions.lifecycle("SecretKnown", source="peer" if from_peer else "store")
         self._schedule_check(steps, from_peer=from_peer)
         return not from_peer
 
     def _schedule_check(self, steps: SharedSecret, *, from_peer: bool) -> None:
         """Have `keep` check the store if it may not hold the secret that was fetched."""
         # A stale answer of a restored store may hold a secret that the store has lost since.
-        is_old = steps.step is SecretStep.READ_STALE and steps.is_of_restored_store
+        is_old = steps.step is SecretStep.READ_STALE and steps.store_was_restored
         if is_old or (from_peer and steps.found_none):
             self._check_needed.set()
         if steps.era is not None:
@@ -131,29 +131,29 @@
 
     def start_answering(self) -> None:
         """Answer members' requests with the current secret from now on."""
-        from beamloom.replication.secret_exchange import SecretKeeper
+        from beamloom.replication.secret_exchange import SecretResponder
 
-        self._seeker = None
-        if self._keeper is None:
-            self._keeper = SecretKeeper(self.known[0])
+        self._requester = None
+        if self._responder is None:
+            self._responder = SecretResponder(self.known[0])
         else:
-            self._keeper.secret = self.known[0]
+            self._responder.secret = self.known[0]
 
     def record_member(self, host: str, now: float) -> None:
         """Record that a host has sent a message signed with the secret."""
-        if self._keeper is not None:
-            self._keeper.note_member(host, now)
+        if self._responder is not None:
+            self._responder.note_member(host, now)
 
     def handle_unsigned(self, host: str, message: Message, now: float) -> None:
         """Handle a request for the secret, or an answer to this node's request."""
-        link = self._open_link() if self._keeper is not None else None
-        if self._keeper is not None and link is not None:
-            answer = self._keeper.answer(host, message, now)
+        link = self._open_link() if self._responder is not None else None
+        if self._responder is not None and link is not None:
+            answer = self._responder.answer(host, message, now)
             if answer is not None:
-                self._decisions.life("SecretGiven", host=host)
+                self._decisions.lifecycle("SecretGiven", host=host)
                 link.send_unsigned(answer.host, answer.message)
-        if self._seeker is not None and self._from_peer is not None:
-            secret = self._seeker.take(host, message)
+        if self._requester is not None and self._from_peer is not None:
+            secret = self._requester.take(host, message)
             if secret is not None and not self._from_peer.done():
                 self._from_peer.set_result(secret)
 
@@ -171,10 +171,10 @@
         self._connection.close()
         if secret != current:
             self._set_current(secret)
-            self._decisions.life("SecretChanged")
+            self._decisions.lifecycle("SecretChanged")
             self.on_change()
         elif steps.found_none:
-            self._decisions.life("SecretRestored")
+            self._decisions.lifecycle("SecretRestored")
 
     async def _ask_peers(self, steps: SharedSecret) -> bytes:
         """Ask the seeds once the store fails, is late or holds no secret; return their answer."""
@@ -183,14 +183,14 @@
         began = _now()
         while not (steps.failures or steps.found_none or _now() - began >= ASK_PEERS_AFTER_SECONDS):
             await asyncio.sleep(POLL_SECONDS)
-        from beamloom.replication.secret_exchange import NONCE_BYTES, SecretSeeker
+        from beamloom.replication.secret_exchange import NONCE_BYTES, SecretRequester
 
-        self._seeker = SecretSeeker(os.urandom(NONCE_BYTES), KEY_BYTES)
+        self._requester = SecretRequester(os.urandom(NONCE_BYTES), KEY_BYTES)
         self._from_peer = asyncio.get_running_loop().create_future()
         while not self._from_peer.done():
             link = self._open_link()
             if link is not None:
-                for request in self._seeker.requests(self.settings.seeds):
+                for request in self._requester.requests(self.settings.seeds):
                     link.send_unsigned(request.host, request.message)
             await asyncio.wait({self._from_peer}, timeout=ASK_PEERS_INTERVAL_SECONDS)
         return self._from_peer.result()
--- a/src/beamloom/runtime/limit_watch.py
+++ b/src/beamloom/runtime/limit_watch.py
@@ -84,8 +84,8 @@
         from beamloom.runtime.own_usage import UsageProbe
 
         settings = self._settings
-        self.limits = OwnLimits(self._core.use_limits)
+        self.limits = OwnLimits(self._core.apply_limit_state)
         self.probe = UsageProbe(settings.capacity, settings.unusable_limits, self._traffic)
         while True:
-            self.limits.take(self.probe.sample(asyncio.get_running_loop().time()))
+            self.limits.add_sample(self.probe.sample(asyncio.get_running_loop().time()))
             await asyncio.sleep(SAMPLE_SECONDS)
--- a/src/beamloom/runtime/peer_link.py
+++ b/src/beamloom/runtime/peer_link.py
@@ -53,7 +53,7 @@
         self._socket = DatagramSocket(SocketAddress(host, port))
         self._socket.listen(self._handle_datagram)
 
-    def use_keys(self, keys: tuple[bytes, ...]) -> None:
+    def set_keys(self, keys: tuple[bytes, ...]) -> None:
         """Sign with the first key and accept signatures of all `keys` from now on."""
         self._keys = KeyRing(keys)
 
--- a/src/beamloom/runtime/shared_secret.py
+++ b/src/beamloom/runtime/shared_secret.py
@@ -50,7 +50,7 @@
         try:
             if secret.step is SecretStep.CREATE:
                 if offered is None:
-                    await asyncio.sleep(secret.make_after_seconds(first_start=first_start))
+                    await asyncio.sleep(secret.create_delay_seconds(first_start=first_start))
                 new_secret = os.urandom(KEY_BYTES) if offered is None else offered
                 done = await _create(secret, connection, secret_format, new_secret)
             else:
@@ -58,7 +58,7 @@
         except (CallFailedError, ValueError):
             done = False
         if not done:
-            await asyncio.sleep(max(pause(), secret.take_failure()))
+            await asyncio.sleep(max(pause(), secret.handle_failure()))
     return secret.value
 
 
@@ -73,11 +73,11 @@
     answer = await connection.call("GET", path, SECRET_LIMITS)
     secret.era = secret_format.read_era(answer.headers)
     if answer.status == STATUS_NOT_FOUND:
-        secret.take_absent()
+        secret.handle_absent()
         return True
     if answer.status not in STATUSES_DONE:
         return False
-    secret.take_secret(secret_format.decode(answer.body))
+    secret.handle_secret(secret_format.decode(answer.body))
     return True
 
 
@@ -87,6 +87,6 @@
     body = secret_format.encode(new_secret)
     answer = await connection.call("POST", secret_format.create_path, SECRET_LIMITS, body)
     if answer.status in STATUSES_DONE or answer.status == STATUS_CONFLICT:
-        secret.take_created()
+        secret.handle_created()
         return True
     return False
--- a/src/beamloom/runtime/store_follower.py
+++ b/src/beamloom/runtime/store_follower.py
@@ -97,20 +97,20 @@
         self.secret.on_change = self._apply_secrets
         self.readers: list[StoreReader[Any]] = [
             self._make_reader(
-                _BACKENDS, core.backend_watch, core.backend_schedule, core.take_backends
+                _BACKENDS, core.backend_watch, core.backend_schedule, core.apply_backends
             ),
             self._make_reader(
                 _CONFIGURATION,
                 core.configuration_watch,
                 core.configuration_schedule,
-                core.take_configuration,
+                core.apply_configuration,
             ),
         ]
         evacuations = core.evacuations
         if evacuations is not None:
             self.readers.append(
                 self._make_reader(
-                    _EVACUATIONS, evacuations.watch, evacuations.schedule, core.take_evacuations
+                    _EVACUATIONS, evacuations.watch, evacuations.schedule, core.apply_evacuations
                 )
             )
 
@@ -121,7 +121,7 @@
                 connection.use(*settings.store.pair)
         self._settings = self.secret.settings = settings
         if self._core.exchange is not None:
-            self._core.exchange.peers.use_seeds(settings.seeds)
+            self._core.exchange.peers.set_seeds(settings.seeds)
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
@@ -171,7 +171,7 @@
     async def _follow_secret(self) -> None:
         """Get the fleet's secret, join the peers, then keep the secret in the store."""
         is_from_store = await self.secret.fetch()
-        self._core.use_key(*self.secret.known)
+        self._core.set_secrets(*self.secret.known)
         if is_from_store:
             await asyncio.sleep(JOIN_PEERS_AFTER_SECONDS)
         await import_gradually()
@@ -180,9 +180,9 @@
 
     def _apply_secrets(self) -> None:
         """Use the current secrets for tokens, peer messages and requests for the secret."""
-        self._core.use_key(*self.secret.known)
+        self._core.set_secrets(*self.secret.known)
         if self.link is not None:
-            self.link.use_keys(tuple(map(_peer_key, self.secret.known)))
+            self.link.set_keys(tuple(map(_peer_key, self.secret.known)))
         self.secret.start_answering()
 
     def _open_link(self) -> PeerLink | None:
@@ -215,7 +215,7 @@
         try:
             self._core.handle_message(host, message, _now())
         except (TypeError, ValueError) as error:
-            self._decisions.life("PeerMessageRefused", host=host, reason=repr(error))
+            self._decisions.lifecycle("PeerMessageRefused", host=host, reason=repr(error))
         self.send()
 
     def _handle_unsigned(self, host: str, message: Message) -> None:
--- a/src/beamloom/runtime/store_reader.py
+++ b/src/beamloom/runtime/store_reader.py
@@ -161,7 +161,7 @@
         self, request: ListRequest | WatchRequest, answer: HttpAnswer, asked_at: float
     ) -> str | None:
         if answer.status == STATUS_GONE:
-            self.watch.take_lost_history()
+            self.watch.handle_lost_history()
             return None
         if answer.status != STATUS_OK:
             return f"status_{answer.status}"
@@ -184,10 +184,10 @@
             page = self._kind.read_page(answer.body, era)
             self._report_unreadable(page.unreadable)
             self._report_older_list(page.revision)
-            return self.watch.take_page(page, asked_at, tells_era=answer_era is not None)
+            return self.watch.handle_page(page, asked_at, reports_era=answer_era is not None)
         batch = self._kind.read_changes(answer.body, era)
         self._report_unreadable(batch.unreadable)
-        return self.watch.take_changes(batch, _now(), tells_era=answer_era is not None)
+        return self.watch.handle_changes(batch, _now(), reports_era=answer_era is not None)
 
     @property
     def _view_era(self) -> int:
--- a/src/beamloom/runtime/token_metrics.py
+++ b/src/beamloom/runtime/token_metrics.py
@@ -125,7 +125,7 @@
         "backends_age_seconds": core.backends.age(now),
         "configuration_age_seconds": core.configuration.age(now),
         "backends_down": sum(item.down_since is not None for item in core.router.backends.all()),
-        "evacuated_zones": None if evacuations is None else len(evacuations.since),
+        "evacuated_zones": None if evacuations is None else len(evacuations.evacuated_since),
         "evacuations_age_seconds": None if evacuations is None else evacuations.view.age(now),
         "peers": 0 if core.exchange is None else len(core.exchange.peers),
         "reads_store": int(core.role.reading),
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -80,7 +80,7 @@
         rng = self._rng = random.Random()
         self.log = EventLog(settings.node, standard_output())
         self.decisions = DecisionLog(self.log, packet_layout.describe_flow, self._view_age)
-        self.start = StartLog(timeline or StartTimeline(time.monotonic()), self.decisions.life)
+        self.start = StartLog(timeline or StartTimeline(time.monotonic()), self.decisions.lifecycle)
         start = os.urandom(READER_ID_BYTES).hex()
         capacity = settings.capacity
         reader_id = reader_id_of(capacity.cores, capacity.link_megabits, start)
@@ -104,7 +104,7 @@
             heartbeat_seconds=settings.heartbeat_seconds,
             is_seed=settings.host in settings.seeds,
         )
-        self.core.on_progress = self._record_progress
+        self.core.on_view_changed = self._record_progress
         self.follower = StoreFollower(settings, self.core, self.decisions, rng, mechanisms)
         self.limit_watch = LimitWatch(
             self.core, settings, self._peer_traffic, self._log_limit_watch_fault
@@ -143,32 +143,32 @@
 
     def request_stop(self) -> None:
         """Begin a planned stop."""
-        self.decisions.life("StopRequested", flows=len(self.core.router.flows))
+        self.decisions.lifecycle("StopRequested", flows=len(self.core.router.flows))
         self.start.stop()
         self._stop.request(in_use=self._was_ready)
-        self.core.ask_to_stop(time.monotonic())
+        self.core.request_stop(time.monotonic())
         self.follower.send()
 
     def _is_stop_turn(self) -> bool:
-        return self.core.may_go_away(time.monotonic())
+        return self.core.may_stop(time.monotonic())
 
     def _announce_away(self) -> None:
-        self.core.go_away(time.monotonic())
+        self.core.announce_away(time.monotonic())
         self.follower.send()
-        self.decisions.life("Away", flows=len(self.core.router.flows))
+        self.decisions.lifecycle("Away", flows=len(self.core.router.flows))
 
     def reload(self) -> None:
         """Read the settings again; a faulty file is logged and changes nothing."""
         try:
             settings = self._read_settings()
         except ValueError as error:
-            self.decisions.life("SettingsRefused", reason=str(error))
+            self.decisions.lifecycle("SettingsRefused", reason=str(error))
             return
         changed = changed_fields(self.settings, settings)
         self.settings = settings
         self.follower.use_settings(settings)
         deferred = [name for name in changed if name in FIELDS_OF_A_START]
-        self.decisions.life(
+        self.decisions.lifecycle(
             "SettingsReloaded",
             changed=", ".join(changed) or None,
             takes_effect_at_next_start=", ".join(deferred) or None,
@@ -186,7 +186,7 @@
         await self._responder.start(*self.settings.readiness.pair)
         self.start.record("listening")
         await self._start_metrics()
-        self.decisions.life("Started", zone=self.settings.zone)
+        self.decisions.lifecycle("Started", zone=self.settings.zone)
         self._log_unusable_limits()
         jobs = (
             self.follower.run(),
@@ -211,7 +211,7 @@
         """Log limits that are missing or implausible in the settings; the least value applies."""
         if self.settings.unusable_limits:
             names = ", ".join(self.settings.unusable_limits)
-            self.decisions.life("LimitsUnusable", taken_as_least=names)
+            self.decisions.lifecycle("LimitsUnusable", taken_as_least=names)
 
     async def _start_metrics(self) -> None:
         """Serve metrics if an address is configured; failure to bind it is only logged."""
@@ -250,7 +250,7 @@
 
     def _schedule_deadline(self) -> None:
         """Set a timer for the next opening or request whose answer deadline expires."""
-        due = self.core.router.flows.next_judgement()
+        due = self.core.router.flows.next_deadline()
         if due is not None and self._deadline_timer is None:
             self._deadline_timer = asyncio.get_running_loop().call_at(due, self._handle_deadline)
 
@@ -281,7 +281,7 @@
         self._responder.close()
         self._metrics_responder.close()
         self.follower.close()
-        self.decisions.life("Stopped")
+        self.decisions.lifecycle("Stopped")
         self.log.flush()
 
     def _record_progress(self) -> None:
@@ -295,18 +295,20 @@
             else:
                 self._packets.start()
             version = self.core.router.routes.version
-            self.decisions.life("Ready", version=version, backends=len(self.core.router.backends))
+            self.decisions.lifecycle(
+                "Ready", version=version, backends=len(self.core.router.backends)
+            )
 
     def _before_packets(self, now: float) -> None:
         """After a stall, drop the opening packets that are queued in the socket's buffer."""
-        if self._mechanisms.discard_after_stall and self.core.take_stall(now):
+        if self._mechanisms.discard_after_stall and self.core.consume_stall(now):
             self._packets.discard_waiting_openings()
 
     def _log_packet_fault(self, error: Exception) -> None:
-        self.decisions.life("PacketFault", error=repr(error), where=_origin(error))
+        self.decisions.lifecycle("PacketFault", error=repr(error), where=_origin(error))
 
     def _log_limit_watch_fault(self, error: Exception) -> None:
-        self.decisions.life("LimitWatchFault", error=repr(error), where=_origin(error))
+        self.decisions.lifecycle("LimitWatchFault", error=repr(error), where=_origin(error))
 
     def _view_age(self) -> float | None:
         return self.core.backends.age(asyncio.get_running_loop().time())
--- a/src/beamloom/simulation/tokens/node.py
+++ b/src/beamloom/simulation/tokens/node.py
@@ -85,7 +85,7 @@
     def _handle_answer(self, answer: StoreAnswer, asked_at: float) -> None:
         now = self._node.clock.now
         if answer.history_gone:
-            self._watch.take_lost_history()
+            self._watch.handle_lost_history()
             self._finish_call()
             return
         try:
@@ -108,10 +108,10 @@
         if not reports_era:
             answer = answer.in_era(era_of(self._watch.view.revision or 0))
         if answer.page is not None:
-            return self._watch.take_page(answer.page, asked_at, tells_era=reports_era)
+            return self._watch.handle_page(answer.page, asked_at, reports_era=reports_era)
         if answer.batch is not None:
             now = self._node.clock.now
-            return self._watch.take_changes(answer.batch, now, tells_era=reports_era)
+            return self._watch.handle_changes(answer.batch, now, reports_era=reports_era)
         return None
 
     def _finish_call(self) -> None:
@@ -168,16 +168,16 @@
         self._send_message = send_message
         self._check_backend = check_backend
         self._deadline_scheduled = False
-        self.core.checks.begin = self._begin_check
+        self.core.checks.start_check = self._begin_check
         core = self.core
         self._readers = [
-            _Reader(self, BACKENDS, core.backend_watch, core.backend_schedule, core.take_backends),
+            _Reader(self, BACKENDS, core.backend_watch, core.backend_schedule, core.apply_backends),
             _Reader(
                 self,
                 CONFIGURATION,
                 core.configuration_watch,
                 core.configuration_schedule,
-                core.take_configuration,
+                core.apply_configuration,
             ),
         ]
         evacuations = core.evacuations
@@ -188,10 +188,10 @@
                     EVACUATIONS,
                     evacuations.watch,
                     evacuations.schedule,
-                    core.take_evacuations,
+                    core.apply_evacuations,
                 )
             )
-        core.use_key(secret)
+        core.set_secrets(secret)
         if join_seconds:
             clock.call_later(join_seconds, core.join_peers, host, seeds)
         else:
@@ -261,7 +261,7 @@
 
     def _schedule_next_deadline(self) -> None:
         """Advance the router at its next deadline, as the real node does between ticks."""
-        due = self.core.router.flows.next_judgement()
+        due = self.core.router.flows.next_deadline()
         if due is None or self._deadline_scheduled:
             return
         self._deadline_scheduled = True
@@ -281,7 +281,7 @@
         self._check_backend(self.host, backend.record.address, on_outcome)
 
     def _apply_check_outcome(self, backend: Backend, outcome: CheckOutcome) -> None:
-        self.core.checks.take(backend, outcome, self.clock.now)
+        self.core.checks.apply_outcome(backend, outcome, self.clock.now)
         self.send_resets()
         self.send_messages()
 
--- a/src/beamloom/simulation/tokens/quiet_observer.py
+++ b/src/beamloom/simulation/tokens/quiet_observer.py
@@ -4,13 +4,13 @@
 
 from collections import Counter
 
-from beamloom.node.belief_observer import BeliefObserver
+from beamloom.node.node_observer import NodeObserver
 from beamloom.routing.tokens.decisions import Decision
 from beamloom.routing.tokens.liveness import CheckOutcome
 from beamloom.routing.tokens.records import BackendRecord
 
 
-class QuietObserver(BeliefObserver):
+class QuietObserver(NodeObserver):
     """Counts decisions and state changes of a core."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         """Count an evacuation that names no zone of the deployment."""
         self.counters["unknown_zones"] += 1
 
-    def suspected(self, backend: str, service: str, age: float) -> None:
+    def backend_suspected(self, backend: str, service: str, age: float) -> None:
         """Count a backend that several nodes found silent."""
         self.counters["suspected"] += 1
 
@@ -73,6 +73,6 @@
         """Count a peer that announced unusable capacity figures."""
         self.counters["unusable_capacities"] += 1
 
-    def own_limits(self, state: str, before: str, limit: str, share: float) -> None:
+    def limit_state_changed(self, state: str, before: str, limit: str, share: float) -> None:
         """Count a change of the limit state by the new state."""
         self.counters[f"limits_{state}"] += 1
--- a/src/beamloom/standins/token_store_server.py
+++ b/src/beamloom/standins/token_store_server.py
@@ -47,12 +47,12 @@
 
 
 class TokenStoreServer:
-    """One server; `calls` counts by method and status, `tells_era` is whether answers do."""
+    """One server; `calls` counts by method and status, `reports_era` is whether answers do."""
 
     def __init__(self, store: TokenStore) -> None:
         self.store = store
         self.faults = TokenStoreFaults()
-        self.tells_era = True
+        self.reports_era = True
         self.calls: Counter[str] = Counter()
         self._changed = asyncio.Event()
         self._runner: web.AppRunner | None = None
@@ -80,7 +80,7 @@
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
         response = await self._respond(request)
-        if self.tells_era:
+        if self.reports_era:
             response.headers[ERA_HEADER.decode()] = str(self.store.era)
         return response
 
--- a/src/beamloom/telemetry/event_log.py
+++ b/src/beamloom/telemetry/event_log.py
@@ -1,9 +1,9 @@
 """A structured log with bounded memory, for processes that must not wait for its reader.
 
 `record` queues an event: at most MAXIMUM_EVENTS in all, and of each event name `lines_per_second`
-on average. `flush` renders and writes them. Lines that are not queued are counted, and the next line
-of the same event carries their number. Lines have the format of structlog's JSONRenderer; structlog
-itself is not used, as importing it delays a node's start (see docs/design/decisions.md).
+on average. `flush` renders and writes them. Lines that are not queued are counted, and the next
+line of the same event carries their number. Lines have the format of structlog's JSONRenderer;
+structlog itself is not used, as importing it delays a node's start (see docs/design/decisions.md).
 """
 
 from __future__ import annotations
@@ -110,7 +110,7 @@
         self._keep_unwritten(data, written)
 
     def _keep_unwritten(self, data: bytes, written: int) -> None:
-        """Keep unwritten whole lines for the next flush, at most MAXIMUM_UNWRITTEN_BYTES of them."""
+        """Keep unwritten whole lines for the next flush, at most MAXIMUM_UNWRITTEN_BYTES."""
         end = len(data)
         if end - written > MAXIMUM_UNWRITTEN_BYTES:
             end = data.rfind(b"\n", written, written + MAXIMUM_UNWRITTEN_BYTES) + 1 or written
--- a/tests/functional/test_gradual_import.py
+++ b/tests/functional/test_gradual_import.py
@@ -15,7 +15,7 @@
 before = set(sys.modules)
 from beamloom.node.view_codecs import BACKEND_CODEC, ConfigurationCodec
 from beamloom.replication.peer_table import PeerTable
-from beamloom.replication.secret_exchange import SecretKeeper
+from beamloom.replication.secret_exchange import SecretResponder
 from beamloom.replication.shared_view import SharedView
 from beamloom.replication.view_exchange import ViewExchange
 from beamloom.runtime.peer_link import PeerLink
--- a/tests/functional/test_restored_store.py
+++ b/tests/functional/test_restored_store.py
@@ -152,7 +152,7 @@
         self.assertNotIn("OlderList", self.logs())
 
     async def test_a_restored_store_without_eras_is_followed(self) -> None:
-        self.store.tells_era = False
+        self.store.reports_era = False
         await self.drain_after_restore()
         for number in (1, 2):
             await self.wait_until(lambda number=number: self.is_draining(number), 2.5)
--- a/tests/unit/admission/test_limits.py
+++ b/tests/unit/admission/test_limits.py
@@ -13,7 +13,7 @@
     UnknownTenantError,
 )
 from beamloom.model.contracts import TenantContract, TenantLimits
-from beamloom.node.neighbours import PacketMetering
+from beamloom.node.routing_hooks import PacketMetering
 from beamloom.routing.hooks import TrafficMeter
 
 
--- a/tests/unit/routing/test_balanced_requests.py
+++ b/tests/unit/routing/test_balanced_requests.py
@@ -12,7 +12,7 @@
 from beamloom.model.addresses import SocketAddress, TransportProtocol, VirtualAddress
 from beamloom.model.contracts import ServicePolicy
 from beamloom.model.machines import Member, MemberState
-from beamloom.node.neighbours import ClientRefusals
+from beamloom.node.routing_hooks import RefusalPackets
 from beamloom.protocol.commands import Command, SendPacket
 from beamloom.routing.forwarder import Forwarder
 from beamloom.routing.hooks import AssumedHealth, PermissiveAdmission, RoutingHooks
@@ -35,7 +35,7 @@
 
     def __init__(self, model: BackendModel, deadline: float = DEADLINE) -> None:
         super().__init__(model)
-        hooks = RoutingHooks(PermissiveAdmission(), ClientRefusals(), AssumedHealth())
+        hooks = RoutingHooks(PermissiveAdmission(), RefusalPackets(), AssumedHealth())
         self.forwarder = Forwarder(machine(0), b"key", (GATEWAY,), hooks)
         policy = ServicePolicy(request_deadline=deadline)
         self.forwarder.update_services([service([[backend(1)]], policy=policy)], [], 0.0)
--- a/tests/unit/routing/test_evidence.py
+++ b/tests/unit/routing/test_evidence.py
@@ -7,7 +7,7 @@
 from beamloom.model.addresses import SocketAddress
 from beamloom.model.contracts import BackendOperatingStatus
 from beamloom.model.machines import NodeId
-from beamloom.node.neighbours import ClientRefusals, ObservedHealth
+from beamloom.node.routing_hooks import ObservedHealth, RefusalPackets
 from beamloom.protocol.events import BackendChecked
 from beamloom.replication.backend_status.views import BackendView
 from beamloom.routing.answer_times import AWAITED_FLOWS, AnswerTimes
@@ -33,7 +33,7 @@
         )
         self.watchers.run(300.0)
         self.health = ObservedHealth(self.watchers.nodes[NODE], self.watchers.now)
-        hooks = RoutingHooks(PermissiveAdmission(), ClientRefusals(), self.health)
+        hooks = RoutingHooks(PermissiveAdmission(), RefusalPackets(), self.health)
         self.fleet = Fleet(hooks=hooks, now=self.watchers.now)
         self.fleet.configure(contract)
         self.fleet.add(0)
--- a/tests/unit/routing/test_late_flows.py
+++ b/tests/unit/routing/test_late_flows.py
@@ -9,7 +9,7 @@
 from beamloom.model.addresses import SocketAddress, TransportProtocol
 from beamloom.model.contracts import ServicePolicy
 from beamloom.model.machines import NodeId
-from beamloom.node.neighbours import ClientRefusals
+from beamloom.node.routing_hooks import RefusalPackets
 from beamloom.routing.explanation import FlowExplanation
 from beamloom.routing.flow_deadlines import FlowDeadlines
 from beamloom.routing.hooks import AssumedHealth, PermissiveAdmission, RoutingHooks
@@ -34,7 +34,7 @@
 
 
 def fleet_of(*numbers: int, protocol: TransportProtocol = TransportProtocol.TCP) -> Fleet:
-    fleet = Fleet(hooks=RoutingHooks(PermissiveAdmission(), ClientRefusals(), AssumedHealth()))
+    fleet = Fleet(hooks=RoutingHooks(PermissiveAdmission(), RefusalPackets(), AssumedHealth()))
     fleet.configure(service(BACKENDS, protocol, DEADLINE))
     fleet.add(*numbers)
     fleet.run(1.0)
--- a/tests/unit/simulation/test_token_fleet.py
+++ b/tests/unit/simulation/test_token_fleet.py
@@ -106,7 +106,7 @@
             self.assertEqual(fleet.oracle.violations, [])
             for name, node in fleet.nodes.items():
                 assert node.core.evacuations is not None
-                self.assertEqual(set(node.core.evacuations.since), {zone}, name)
+                self.assertEqual(set(node.core.evacuations.evacuated_since), {zone}, name)
 
     def test_evacuation_survives_a_restart_of_all_nodes_and_a_lost_history(self) -> None:
         fleet = TokenFleet(seed=8, nodes=12, join_seconds=0.4)
@@ -119,7 +119,7 @@
         fleet.run(4.0)
         for node in fleet.nodes.values():
             assert node.core.evacuations is not None
-            self.assertEqual(set(node.core.evacuations.since), {ZONES[0]})
+            self.assertEqual(set(node.core.evacuations.evacuated_since), {ZONES[0]})
 
     def test_store_calls_hardly_grow_with_the_fleet(self) -> None:
         calls = {}
@@ -172,12 +172,12 @@
                 self.assertIn("drain", self.run_and_collect_rules(range(100, 108)))
 
     def test_outdated_configuration_is_reported(self) -> None:
-        original = RouteTable.put_in_force
+        original = RouteTable.activate
 
         def only_first(table: RouteTable, configuration: object) -> bool:
             return table.version < 0 and original(table, configuration)  # type: ignore[arg-type]
 
-        with mock.patch.object(RouteTable, "put_in_force", only_first):
+        with mock.patch.object(RouteTable, "activate", only_first):
             self.assertIn("configuration", self.run_and_collect_rules(range(100, 104)))
 
     def test_ignored_evacuation_is_reported(self) -> None:
--- a/tests/unit/tokens/builders.py
+++ b/tests/unit/tokens/builders.py
@@ -74,7 +74,7 @@
 
 def put_terms_in_force(core: TokenCore, terms: RouteTerms) -> None:
     """Activate a next version of the configuration of `make_core` with these terms."""
-    core.router.put_in_force(with_terms(core.router.routes.version + 1, terms))
+    core.router.activate(with_terms(core.router.routes.version + 1, terms))
 
 
 def many_routes(version: int, count: int, changed: int = 0) -> RoutingConfiguration:
@@ -132,7 +132,7 @@
     placement = Placement(ZONE, settings or PlacementSettings(), random.Random(seed))
     router = TokenRouter(placement, recorded.append)
     router.codec = TokenCodec(KEY)
-    router.put_in_force(configuration(version, *services))
+    router.activate(configuration(version, *services))
     for revision, record in enumerate(records):
         router.backends.update(record, revision, now=0.0)
     return router
@@ -178,12 +178,12 @@
 def make_core(mechanisms: Mechanisms, *records: BackendRecord) -> TokenCore:
     """Return a core with the backends and a route for DESTINATION, both not confirmed yet."""
     core = new_core(mechanisms)
-    core.use_key(KEY)
+    core.set_secrets(KEY)
     core.backends.replace([NamedRecord(record.name, 3, record) for record in records], 9)
-    core.take_backends(tuple(ObjectChange(record.name, 3, record) for record in records), 10.0)
+    core.apply_backends(tuple(ObjectChange(record.name, 3, record) for record in records), 10.0)
     change = make_change(3, configuration(1, "tracker"))
     core.configuration.replace([NamedRecord("main", 3, configuration(1, "tracker"))], 9)
-    core.take_configuration((change,), 10.0)
+    core.apply_configuration((change,), 10.0)
     return core
 
 
--- a/tests/unit/tokens/test_backend_restarts.py
+++ b/tests/unit/tokens/test_backend_restarts.py
@@ -3,7 +3,7 @@
 import unittest
 
 from beamloom.model.store_revision import revision_in_era
-from beamloom.node.backend_judge import BackendJudge
+from beamloom.node.backend_failure_handler import BackendFailureHandler
 from beamloom.node.record_orders import BackendOrder
 from beamloom.node.token_core import TokenCore
 from beamloom.replication.store_view import NamedRecord, ObjectChange
@@ -47,7 +47,7 @@
         current = self.table.find(self.first.name)
         assert current is not None
         self.assertIsNot(current, earlier)
-        self.assertTrue(earlier.forgotten)
+        self.assertTrue(earlier.removed)
         self.assertEqual(
             (current.pending, current.open, current.busy, current.failures), (0, 0, 0, 0)
         )
@@ -90,10 +90,10 @@
 class EarlierFlowsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.core = new_core()
-        self.core.use_key(KEY)
+        self.core.set_secrets(KEY)
         self.first = backend(1)._replace(born_at=5000)
         self.put(1, self.first)
-        self.core.take_configuration(
+        self.core.apply_configuration(
             self.core.configuration.replace(
                 [NamedRecord("main", 1, configuration(1, "tracker"))], 1
             ),
@@ -115,7 +115,7 @@
         else:
             change = ObjectChange(record.name, revision, record)
             changes = self.core.backends.apply([change], revision)
-        self.core.take_backends(changes, NOW)
+        self.core.apply_backends(changes, NOW)
 
     def send(self, now: float, sequence: int) -> object:
         sent = packet(1, PacketKind.DATA, token=self.token, sequence=sequence, data_length=90)
@@ -141,7 +141,7 @@
         earlier = self.core.router.backends.find(self.first.name)
         assert earlier is not None
         self.put(2, restarted(self.first))
-        self.core.checks.take(earlier, CheckOutcome.REFUSED, NOW + 1.0)
+        self.core.checks.apply_outcome(earlier, CheckOutcome.REFUSED, NOW + 1.0)
         current = self.core.router.backends.find(self.first.name)
         assert current is not None
         self.assertIsNone(current.down_since)
@@ -157,13 +157,13 @@
 
     def make_core(self, *records: BackendRecord) -> TokenCore:
         core = new_core()
-        core.use_key(KEY)
+        core.set_secrets(KEY)
         named = [
             NamedRecord(record.name, number, record) for number, record in enumerate(records, 1)
         ]
-        core.take_backends(core.backends.replace(named, len(records)), NOW)
+        core.apply_backends(core.backends.replace(named, len(records)), NOW)
         main = NamedRecord("main", 1, configuration(1, "tracker"))
-        core.take_configuration(core.configuration.replace([main], 1), NOW)
+        core.apply_configuration(core.configuration.replace([main], 1), NOW)
         return core
 
     def test_it_does_not_claim_the_address_of_a_live_backend(self) -> None:
@@ -218,11 +218,11 @@
         earlier = backend(1, port=8001)._replace(state=BackendState.DRAINING, sequence=9)
         live = backend(2, port=8001)
         core = new_core()
-        core.router.backends.use_services(frozenset(), NOW)
+        core.router.backends.set_services(frozenset(), NOW)
         self.list(core, revision_in_era(1, 30), self.named(1, 10, earlier))
         self.apply(core, 1, 31, live)
         self.remove(core, 1, 32, earlier)
-        core.router.backends.use_services(frozenset({"tracker"}), NOW)
+        core.router.backends.set_services(frozenset({"tracker"}), NOW)
         self.list(core, revision_in_era(2, 20), self.named(2, 10, earlier))
         self.apply(core, 2, 21, live)
         self.apply(core, 2, 22, backend(3))
@@ -235,18 +235,18 @@
         self.assertTrue(found.takes_flows)
 
     def list(self, core: TokenCore, revision: int, named: NamedRecord[BackendRecord]) -> None:
-        core.take_backends(core.backends.replace([named], revision), NOW)
+        core.apply_backends(core.backends.replace([named], revision), NOW)
 
     def named(self, era: int, number: int, record: BackendRecord) -> NamedRecord[BackendRecord]:
         return NamedRecord(record.name, revision_in_era(era, number), record)
 
     def apply(self, core: TokenCore, era: int, number: int, record: BackendRecord) -> None:
         change = ObjectChange(record.name, revision_in_era(era, number), record)
-        core.take_backends(core.backends.apply([change], change.revision), NOW)
+        core.apply_backends(core.backends.apply([change], change.revision), NOW)
 
     def remove(self, core: TokenCore, era: int, number: int, record: BackendRecord) -> None:
         change = ObjectChange[BackendRecord](record.name, revision_in_era(era, number), None)
-        core.take_backends(core.backends.apply([change], change.revision), NOW)
+        core.apply_backends(core.backends.apply([change], change.revision), NOW)
 
 
 class UnreportedRestartTest(unittest.TestCase):
@@ -254,15 +254,15 @@
 
     def setUp(self) -> None:
         self.router = make_router()
-        self.judge = BackendJudge(self.router, QuietObserver(), ALL_MECHANISMS)
-        self.router.backends.use_warm_ups([ServiceWarmUp("tracker", 4.0, 10.0)])
+        self.failures = BackendFailureHandler(self.router, QuietObserver(), ALL_MECHANISMS)
+        self.router.backends.set_warm_ups([ServiceWarmUp("tracker", 4.0, 10.0)])
         self.router.backends.update(backend(1), 1, NOW)
         held = self.router.backends.find(backend(1).name)
         assert held is not None
         self.held = held
 
     def check(self, outcome: CheckOutcome, now: float) -> None:
-        self.judge.checks.take(self.held, outcome, now)
+        self.failures.checks.apply_outcome(self.held, outcome, now)
 
     def test_it_is_presumed_cold_before_its_record_arrives(self) -> None:
         self.check(CheckOutcome.REFUSED, NOW)
@@ -288,7 +288,7 @@
 
     def setUp(self) -> None:
         self.table = BackendTable()
-        self.table.use_warm_ups([ServiceWarmUp("tracker", 4.0, 10.0)])
+        self.table.set_warm_ups([ServiceWarmUp("tracker", 4.0, 10.0)])
         self.table.update(backend(1, warm_up=4.0), 1, NOW)
 
     def cold_until(self) -> float:
--- a/tests/unit/tokens/test_cold_starts.py
+++ b/tests/unit/tokens/test_cold_starts.py
@@ -8,7 +8,7 @@
 from beamloom.replication.peer_table import PeerTable
 from beamloom.routing.tokens.cold_starts import (
     DISAGREEMENT_FACTOR,
-    SENDERS_OF_A_BACKEND,
+    SENDERS_PER_BACKEND,
     ColdStartGate,
 )
 from beamloom.routing.tokens.packets import DropPacket, DropReason, ForwardPacket, ResetFlow
@@ -37,13 +37,13 @@
     """Return a router with cold backends of these numbers that may open flows at all of them."""
     gate = ColdStartGate(LIMITS)
     gate.is_sender = lambda identity, now: True
-    gate.use_rates([ServiceWarmUp("tracker", 2.0, rate)])
+    gate.set_rates([ServiceWarmUp("tracker", 2.0, rate)])
     placement = Placement(ZONE, PlacementSettings(), random.Random(1), gate)
     router = TokenRouter(placement)
     router.codec = TokenCodec(KEY)
     routes = configuration(1, "tracker").routes
     warm_ups = (ServiceWarmUp("tracker", 2.0, rate),)
-    router.put_in_force(RoutingConfiguration(1, routes, warm_ups=warm_ups))
+    router.activate(RoutingConfiguration(1, routes, warm_ups=warm_ups))
     for number in numbers:
         router.backends.update(backend(number, warm_up=warm_up), number, START)
     return router
@@ -108,8 +108,8 @@
         for host in hosts:
             known_hosts = [other for other in hosts if rng.random() >= missing]
             gate = ColdStartGate(LIMITS)
-            gate.is_sender = settled_share(host, known_hosts, SENDERS_OF_A_BACKEND).holds
-            gate.use_rates([ServiceWarmUp("tracker", 2.0, rate)])
+            gate.is_sender = settled_share(host, known_hosts, SENDERS_PER_BACKEND).is_assigned
+            gate.set_rates([ServiceWarmUp("tracker", 2.0, rate)])
             gates.append(gate)
         router = make_router(*range(1, 5))
         cold = router.backends.of_service("tracker")
@@ -142,14 +142,14 @@
 
     def test_a_node_that_has_just_joined_holds_no_key(self) -> None:
         share = FleetShare(PeerTable("10.0.0.1", (), random.Random(1)), 2, START)
-        self.assertFalse(share.holds(7, START + SETTLING_SECONDS - 0.1))
-        self.assertTrue(share.holds(7, START + SETTLING_SECONDS))
+        self.assertFalse(share.is_assigned(7, START + SETTLING_SECONDS - 0.1))
+        self.assertTrue(share.is_assigned(7, START + SETTLING_SECONDS))
 
     def test_a_key_belongs_to_the_given_number_of_nodes(self) -> None:
         hosts = [f"10.0.0.{number}" for number in range(1, 40)]
         for key in range(50):
-            holders = sum(settled_share(host, hosts, 2).holds(key, START) for host in hosts)
+            holders = sum(settled_share(host, hosts, 2).is_assigned(key, START) for host in hosts)
             self.assertEqual(holders, 2)
 
     def test_the_share_of_a_node_allows_for_different_views(self) -> None:
-        self.assertGreaterEqual(SENDERS_OF_A_BACKEND * DISAGREEMENT_FACTOR, 4)
+        self.assertGreaterEqual(SENDERS_PER_BACKEND * DISAGREEMENT_FACTOR, 4)
--- a/tests/unit/tokens/test_evacuation.py
+++ b/tests/unit/tokens/test_evacuation.py
@@ -98,7 +98,7 @@
         self.follower.apply((evacuation("east"),), START + 1.0)
         self.follower.apply((evacuation_ended("west"),), START + 2.0)
         self.assertEqual(self.zones, [{"west"}, {"west", "east"}, {"east"}])
-        self.assertEqual(self.follower.since, {"east": START + 1.0})
+        self.assertEqual(self.follower.evacuated_since, {"east": START + 1.0})
 
     def test_revision_at_the_end_of_an_evacuation_is_reported(self) -> None:
         returns: list[Mapping[str, int]] = []
@@ -117,18 +117,18 @@
     def test_the_first_list_may_be_stale_and_empty(self) -> None:
         watch = self.follower.watch
         self.assertEqual(watch.next_request(), ListRequest("", stale=True))
-        watch.take_page(ListPage((), False, 9, ""), asked_at=START)
+        watch.handle_page(ListPage((), False, 9, ""), asked_at=START)
         self.assertTrue(watch.holds_stale)
         self.assertEqual(watch.next_request(), ListRequest(""))
         self.assertIsNone(self.follower.view.confirmed_at)
-        watch.take_page(ListPage((), False, 9, ""), asked_at=START)
+        watch.handle_page(ListPage((), False, 9, ""), asked_at=START)
         self.assertEqual(watch.next_request(), WatchRequest(9))
 
     def test_older_list_ends_no_evacuation(self) -> None:
         named = NamedRecord("west", 7, ZoneEvacuation("west"))
         self.follower.apply(self.follower.view.replace([named], 9), START)
         self.follower.apply(self.follower.view.replace([], 8), START)
-        self.assertEqual(set(self.follower.since), {"west"})
+        self.assertEqual(set(self.follower.evacuated_since), {"west"})
 
 
 class StartTest(unittest.TestCase):
@@ -151,8 +151,8 @@
 
     def test_lost_history_requires_a_list_at_once(self) -> None:
         follower = make_follower()
-        follower.watch.take_page(ListPage((), False, 9, ""), asked_at=START)
-        follower.watch.take_lost_history()
+        follower.watch.handle_page(ListPage((), False, 9, ""), asked_at=START)
+        follower.watch.handle_lost_history()
         self.assertTrue(follower.schedule.must_ask(START))
 
     def test_nodes_learn_within_the_bound_after_all_readers_fail(self) -> None:
@@ -173,11 +173,11 @@
             core.advance(START)
         assert sender.evacuations is not None
         assert receiver.evacuations is not None
-        sender.evacuations.watch.take_page(ListPage((), False, 9, ""), asked_at=START)
-        changes = sender.evacuations.watch.take_changes(
+        sender.evacuations.watch.handle_page(ListPage((), False, 9, ""), asked_at=START)
+        changes = sender.evacuations.watch.handle_changes(
             ChangeBatch((evacuation("east"),), 9), START
         )
-        sender.take_evacuations(changes, START)
+        sender.apply_evacuations(changes, START)
         sender.handle_message("10.0.0.2", ViewDigest([], [], []), START)
         for _ in range(4):
             for core, host, other in (
@@ -186,7 +186,7 @@
             ):
                 for send in core.take_sends():
                     other.handle_message(host, send.message, START)
-        self.assertEqual(set(receiver.evacuations.since), {"east"})
+        self.assertEqual(set(receiver.evacuations.evacuated_since), {"east"})
 
     def test_platform_without_evacuations_is_not_polled_for_them(self) -> None:
         self.assertIsNone(new_core().evacuations)
--- a/tests/unit/tokens/test_liveness.py
+++ b/tests/unit/tokens/test_liveness.py
@@ -38,7 +38,7 @@
         self.begun: list[Backend] = []
         self.down: list[tuple[int, CheckOutcome]] = []
         self.up: list[int] = []
-        self.checks.begin = self.begun.append
+        self.checks.start_check = self.begun.append
         self.checks.on_down = lambda held, outcome, now: self.down.append(
             (held.record.identity, outcome)
         )
@@ -57,7 +57,7 @@
             if self.begun:
                 starts.append(now)
                 self.begun.clear()
-                self.checks.take(self.backend, CheckOutcome.ALIVE, now)
+                self.checks.apply_outcome(self.backend, CheckOutcome.ALIVE, now)
             now += 0.1
         self.assertLessEqual(len(starts), 8)
         self.assertEqual(self.down, [])
@@ -66,19 +66,19 @@
         for number, outcome in ((1, CheckOutcome.SILENT), (2, CheckOutcome.REFUSED)):
             held = Backend(backend(number), 1)
             self.checks.suspect(held, Suspicion.UNANSWERED_OPENING, START)
-            self.checks.take(held, outcome, START + 0.3)
+            self.checks.apply_outcome(held, outcome, START + 0.3)
             self.assertEqual(held.down_since, START + 0.3)
         self.assertEqual(self.down, [(1, CheckOutcome.SILENT), (2, CheckOutcome.REFUSED)])
 
     def test_a_silent_check_with_a_sign_of_life_is_unclear(self) -> None:
         self.checks.suspect(self.backend, Suspicion.REPEATED_REQUEST, START)
         self.backend.last_alive_at = START + 0.1
-        self.checks.take(self.backend, CheckOutcome.SILENT, START + 0.3)
+        self.checks.apply_outcome(self.backend, CheckOutcome.SILENT, START + 0.3)
         self.assertEqual((self.down, self.backend.down_since), ([], None))
 
     def test_an_unclear_check_is_made_again(self) -> None:
         self.checks.suspect(self.backend, Suspicion.REPEATED_REQUEST, START)
-        self.checks.take(self.backend, CheckOutcome.UNCLEAR, START + 0.3)
+        self.checks.apply_outcome(self.backend, CheckOutcome.UNCLEAR, START + 0.3)
         self.assertEqual(self.down, [])
         self.backend.open = 1
         self.checks.advance(START + 0.4)
@@ -86,10 +86,10 @@
 
     def test_a_listed_backend_is_checked_until_it_is_up_again(self) -> None:
         self.checks.suspect(self.backend, Suspicion.REPEATED_REQUEST, START)
-        self.checks.take(self.backend, CheckOutcome.SILENT, START + 0.3)
+        self.checks.apply_outcome(self.backend, CheckOutcome.SILENT, START + 0.3)
         self.checks.advance(START + 0.3 + RECHECK_SECONDS)
         self.assertEqual(len(self.begun), 2)
-        self.checks.take(self.backend, CheckOutcome.ALIVE, START + 1.0)
+        self.checks.apply_outcome(self.backend, CheckOutcome.ALIVE, START + 1.0)
         self.assertEqual((self.up, self.backend.down_since), ([1], None))
         self.checks.advance(START + 20.0)
         self.assertEqual(len(self.begun), 2)
@@ -98,10 +98,10 @@
         self.backend.gone_at = START
         self.backend.open = 2
         self.checks.suspect(self.backend, Suspicion.GONE, START)
-        self.checks.take(self.backend, CheckOutcome.ALIVE, START + 0.01)
+        self.checks.apply_outcome(self.backend, CheckOutcome.ALIVE, START + 0.01)
         self.checks.advance(START + 0.1 + MAXIMUM_RECHECK_SECONDS)
         self.assertEqual(len(self.begun), 2)
-        self.checks.take(self.backend, CheckOutcome.ALIVE, START + 2.2)
+        self.checks.apply_outcome(self.backend, CheckOutcome.ALIVE, START + 2.2)
         self.backend.open = 0
         self.checks.advance(START + 20.0)
         self.assertEqual(len(self.begun), 2)
@@ -110,13 +110,13 @@
         """A dead backend gets no flows, so nothing else would show that it is alive again."""
         self.backend.gone_at = START
         self.checks.suspect(self.backend, Suspicion.GONE, START)
-        self.checks.take(self.backend, CheckOutcome.SILENT, START + 0.2)
+        self.checks.apply_outcome(self.backend, CheckOutcome.SILENT, START + 0.2)
         self.checks.advance(START + 5.0)
         self.assertEqual(len(self.begun), 1)
         self.backend.gone_at = None
         self.checks.watch(self.backend, START + 6.0)
         self.assertEqual(len(self.begun), 2)
-        self.checks.take(self.backend, CheckOutcome.SILENT, START + 6.2)
+        self.checks.apply_outcome(self.backend, CheckOutcome.SILENT, START + 6.2)
         self.checks.advance(START + 6.3 + MAXIMUM_RECHECK_SECONDS)
         self.assertEqual(len(self.begun), 3)
 
@@ -126,7 +126,7 @@
             self.checks.suspect(one, Suspicion.REPORTED, START)
         self.assertEqual(len(self.begun), MAXIMUM_CONCURRENT_CHECKS)
         while self.begun:
-            self.checks.take(self.begun.pop(0), CheckOutcome.SILENT, START + 0.3)
+            self.checks.apply_outcome(self.begun.pop(0), CheckOutcome.SILENT, START + 0.3)
         self.assertEqual(len(self.down), len(held))
 
     def test_several_down_backends_cause_a_check_of_their_zone(self) -> None:
@@ -134,7 +134,7 @@
         held.append(Backend(backend(9, zone="east"), 1))
         for one in held[:ZONE_DOWN_BACKENDS]:
             self.checks.suspect(one, Suspicion.UNANSWERED_OPENING, START)
-            self.checks.take(one, CheckOutcome.REFUSED, START + 0.01)
+            self.checks.apply_outcome(one, CheckOutcome.REFUSED, START + 0.01)
             self.checks.check_zone(held, ZONE, START + 0.01)
         self.assertEqual({one.record.identity for one in self.begun}, set(range(1, 8)))
 
@@ -234,19 +234,19 @@
         held = core.router.backends.find(backend(1).name)
         assert held is not None
         begun: list[Backend] = []
-        core.checks.begin = begun.append
+        core.checks.start_check = begun.append
         core.join_peers("10.0.0.1", ())
         core.handle_message("10.0.0.2", BackendsDown([backend(1).name]), START + 0.5)
         self.assertEqual((len(core.router.resets), begun), (0, [held]))
-        core.checks.take(held, CheckOutcome.SILENT, START + 1.0)
+        core.checks.apply_outcome(held, CheckOutcome.SILENT, START + 1.0)
         self.assertEqual(len(core.router.resets), 1)
 
     def test_a_gone_backend_is_checked_where_flows_are_open(self) -> None:
         core = make_core_with_flow()
         begun: list[Backend] = []
-        core.checks.begin = begun.append
+        core.checks.start_check = begun.append
         changes = core.backends.replace([], 12)
-        core.take_backends(changes, START + 1.0)
+        core.apply_backends(changes, START + 1.0)
         self.assertEqual([held.record.identity for held in begun], [1])
 
 
--- a/tests/unit/tokens/test_mechanisms.py
+++ b/tests/unit/tokens/test_mechanisms.py
@@ -9,7 +9,7 @@
 from beamloom.protocol.view_messages import NEVER, ViewDigest, ViewRequest
 from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.shared_view import SharedView
-from beamloom.replication.stop_turns import HESITATION_SECONDS, StopState
+from beamloom.replication.stop_turns import ANNOUNCEMENT_DELAY_SECONDS, StopState
 from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.store_view import StoreView
 from beamloom.replication.view_transfer import pack
@@ -126,7 +126,7 @@
 def liveness_checks(mechanisms: Mechanisms) -> object:
     core = make_core(mechanisms, backend(1))
     begun: list[Backend] = []
-    core.checks.begin = begun.append
+    core.checks.start_check = begun.append
     core.router.handle(opening(1), NOW)
     core.router.advance(NOW + 1.0)
     return len(begun)
@@ -157,7 +157,7 @@
     for seed in range(SEED_COUNT):
         settings = placement_settings(3.0, mechanisms)
         router = make_router(backend(1), backend(2), settings=settings, seed=seed)
-        router.backends.of_service("tracker")[0].doubt(5.0)
+        router.backends.of_service("tracker")[0].mark_doubted(5.0)
         command = router.handle(opening(1), 0.0)
         assert isinstance(command, ForwardPacket)
         chosen.add(command.identity)
@@ -179,7 +179,7 @@
     settings = placement_settings(3.0, mechanisms)
     records = (backend(1, slots=4), backend(2, zone="far", slots=1))
     router = make_router(*records, settings=settings)
-    router.put_in_force(two_priorities(2))
+    router.activate(two_priorities(2))
     for client in range(4):
         router.handle(opening(client), 0.0)
     return [held.pending for held in router.backends.of_service("tracker")]
@@ -187,7 +187,7 @@
 
 def timely_refusals(mechanisms: Mechanisms) -> object:
     core = new_core(mechanisms, cold_starts=ColdStartLimits(1.0, 0.0))
-    core.use_key(KEY)
+    core.set_secrets(KEY)
     put_terms_in_force(core, RouteTerms(timeout_seconds=0.15))
     core.router.may_refuse = True
     core.router.backends.update(backend(1, warm_up=5.0), 1, NOW)
@@ -252,7 +252,7 @@
         late_seconds=store_call_times().late_seconds,
         confirms_early=mechanisms.early_confirmation,
     )
-    shared.note_ahead(7, NOW)
+    shared.note_pending_confirmation(7, NOW)
     source: StoreView[BackendRecord] = StoreView()
     source.replace([], 7)
     delta = source.since(5)
@@ -269,9 +269,9 @@
     whole = pack(ConfigurationCodec(ConfigurationHistory()).encode(shared.view.since(-1), NEVER))
     record = many_routes(2, 50, 1)
     core.configuration.apply([make_change(12, many_routes(1, 50))], 12)
-    core.take_configuration((make_change(12, many_routes(1, 50)),), NOW)
+    core.apply_configuration((make_change(12, many_routes(1, 50)),), NOW)
     core.configuration.apply([make_change(20, record)], 20)
-    core.take_configuration((make_change(20, record),), NOW)
+    core.apply_configuration((make_change(20, record),), NOW)
     encoded = shared.encode_for(ViewRequest(1, 12, versions=[1]))
     assert encoded is not None
     return len(encoded) < 2 * len(whole)
@@ -303,8 +303,8 @@
     assert core.exchange is not None
     digest = ViewDigest([], [], [], ZONE, [], int(StopState.AWAY))
     core.handle_message("10.0.0.2", digest, NOW)
-    core.ask_to_stop(NOW)
-    return core.may_go_away(NOW + 2 * HESITATION_SECONDS)
+    core.request_stop(NOW)
+    return core.may_stop(NOW + 2 * ANNOUNCEMENT_DELAY_SECONDS)
 
 
 def forwarding_after_stop(mechanisms: Mechanisms) -> object:
--- a/tests/unit/tokens/test_own_limits.py
+++ b/tests/unit/tokens/test_own_limits.py
@@ -39,7 +39,7 @@
 
     def take(self, share: float, times: int) -> str:
         for _ in range(times):
-            self.limits.take(Usage(processor=0.05, peer_link=share))
+            self.limits.add_sample(Usage(processor=0.05, peer_link=share))
         return self.limits.state
 
     def test_states_change_one_at_a_time_in_both_directions(self) -> None:
@@ -70,7 +70,7 @@
 
     def test_unknown_usage_sheds_nothing(self) -> None:
         for _ in range(20):
-            self.limits.take(Usage())
+            self.limits.add_sample(Usage())
         self.assertEqual(self.limits.state, SERVING)
 
     def test_answer_shares_fall_with_each_state(self) -> None:
@@ -92,16 +92,16 @@
         return [type(send.message) for send in self.core.take_sends()]
 
     def test_closed_node_refers_peers_and_serves_clients(self) -> None:
-        self.core.use_limits(CLOSED_TO_PEERS, ROLES_SHED, "memory", 0.95)
+        self.core.apply_limit_state(CLOSED_TO_PEERS, ROLES_SHED, "memory", 0.95)
         self.assertIn(AskElsewhere, self.answers())
         self.assertIsInstance(self.core.router.handle(opening(1), NOW), ForwardPacket)
-        self.core.use_limits(SERVING, ROLES_SHED, "memory", 0.1)
+        self.core.apply_limit_state(SERVING, ROLES_SHED, "memory", 0.1)
         self.assertIn(ViewPart, self.answers())
 
     def test_reader_steps_down_only_if_there_is_another(self) -> None:
         role = self.core.role
         role.reading = True
-        self.core.use_limits(ROLES_SHED, SERVING, "processor", 0.8)
+        self.core.apply_limit_state(ROLES_SHED, SERVING, "processor", 0.8)
         role.advance(NOW)
         self.assertTrue(role.reading)
         role.note_reader("9-other", NOW)
@@ -109,8 +109,8 @@
         self.assertFalse(role.reading)
 
     def test_shedding_node_announces_the_least_capacity(self) -> None:
-        self.core.use_limits(ROLES_SHED, SERVING, "processor", 0.8)
-        self.core.ask_to_stop(NOW)
+        self.core.apply_limit_state(ROLES_SHED, SERVING, "processor", 0.8)
+        self.core.request_stop(NOW)
         sent = [s.message for s in self.core.take_sends() if isinstance(s.message, ViewDigest)]
         self.assertEqual({tuple(digest.capacity) for digest in sent}, {tuple(to_wire(LEAST))})
 
@@ -191,7 +191,7 @@
         shares = {host: self.share(host) for host in self.HOSTS}
         held: Counter[str] = Counter()
         for key in range(200):
-            holders = [host for host in self.HOSTS if shares[host].holds(key, NOW)]
+            holders = [host for host in self.HOSTS if shares[host].is_assigned(key, NOW)]
             self.assertEqual(len(holders), 2)
             held.update(holders)
         self.assertGreater(sum(held[host] for host in self.LARGE_HOSTS), 200)
@@ -199,32 +199,32 @@
     def test_brief_loss_of_contact_with_peers_moves_no_key(self) -> None:
         own = self.HOSTS[0]
         share = self.share(own)
-        keys = [key for key in range(200) if not share.holds(key, NOW)]
+        keys = [key for key in range(200) if not share.is_assigned(key, NOW)]
         others = dict(share.peers._last_seen)
         share.peers._last_seen = {}
-        self.assertFalse(any(share.holds(key, NOW + 1.5) for key in keys))
+        self.assertFalse(any(share.is_assigned(key, NOW + 1.5) for key in keys))
         share.peers._last_seen = others
-        self.assertFalse(any(share.holds(key, NOW + 3.0) for key in keys))
+        self.assertFalse(any(share.is_assigned(key, NOW + 3.0) for key in keys))
 
     def test_lost_holders_are_replaced_within_the_contact_bound(self) -> None:
         own = self.HOSTS[0]
         share = self.share(own)
-        keys = [key for key in range(200) if not share.holds(key, NOW)]
+        keys = [key for key in range(200) if not share.is_assigned(key, NOW)]
         share.peers._last_seen = {}
         for draw in range(DRAWS_TO_CHANGE):
-            held = [share.holds(key, NOW + 1.0 + draw * 1.1) for key in keys]
+            held = [share.is_assigned(key, NOW + 1.0 + draw * 1.1) for key in keys]
         self.assertTrue(all(held))
 
     def test_shedding_node_holds_nothing(self) -> None:
         share = self.share(self.HOSTS[0])
-        share.sheds = True
-        self.assertFalse(any(share.holds(key, NOW) for key in range(200)))
+        share.is_shedding = True
+        self.assertFalse(any(share.is_assigned(key, NOW) for key in range(200)))
 
     def test_differing_views_leave_few_holders_and_rarely_none(self) -> None:
         """Half of the nodes have received no capacity of a peer yet."""
         plain = {host: settled_share(host, self.HOSTS, 2) for host in self.HOSTS[20:]}
         shares = {**{host: self.share(host) for host in self.HOSTS[:20]}, **plain}
-        counts = [sum(shares[h].holds(key, NOW) for h in self.HOSTS) for key in range(300)]
+        counts = [sum(shares[h].is_assigned(key, NOW) for h in self.HOSTS) for key in range(300)]
         self.assertLessEqual(max(counts), 4)
         self.assertGreater(sum(count > 0 for count in counts), 290)
 
--- a/tests/unit/tokens/test_placement_by_terms.py
+++ b/tests/unit/tokens/test_placement_by_terms.py
@@ -45,9 +45,9 @@
     identities = set()
     for seed in range(40):
         router = make_router(*(backend(n) for n in range(1, known + 1)), seed=seed)
-        router.put_in_force(with_terms(2, terms))
+        router.activate(with_terms(2, terms))
         for held in router.backends.of_service("tracker")[:doubted]:
-            held.doubt(NOW + 1)
+            held.mark_doubted(NOW + 1)
         identities.add(forwarded_to(router.handle(opening(1), NOW)))
     return identities
 
@@ -64,13 +64,13 @@
 
     def test_another_zone_is_preferred_to_a_doubted_backend(self) -> None:
         router = make_router(backend(1), backend(2, zone="far"))
-        router.backends.of_service("tracker")[0].doubt(NOW + 1)
+        router.backends.of_service("tracker")[0].mark_doubted(NOW + 1)
         self.assertEqual(forwarded_to(router.handle(opening(1), NOW)), 2)
         self.assertEqual(router.counters["doubted_spared"], 1)
 
     def test_doubt_ends(self) -> None:
         router = make_router(backend(1), backend(2, zone="far"))
-        router.backends.of_service("tracker")[0].doubt(NOW)
+        router.backends.of_service("tracker")[0].mark_doubted(NOW)
         self.assertEqual(forwarded_to(router.handle(opening(1), NOW + 0.1)), 1)
 
 
@@ -130,7 +130,7 @@
         reports = self.core.exchange.reports
         self.core.router.advance(NOW + 0.31)
         self.assertLess(self.backend.failing_until, NOW)
-        reports.on_sign_of_failure(self.backend.record.name, NOW + 0.4)
+        reports.on_failure_report(self.backend.record.name, NOW + 0.4)
         self.assertGreater(self.backend.doubted_until, NOW + 3)
         reports.on_failing(self.backend.record.name, NOW + 0.5, NOW + 0.5)
         self.assertGreater(self.backend.failing_until, NOW + 2)
@@ -154,7 +154,7 @@
 class PriorityTest(unittest.TestCase):
     def test_a_burst_leaves_room_for_the_highest_priority(self) -> None:
         router = make_router(*(backend(n) for n in range(1, 5)))
-        router.put_in_force(two_priorities(2))
+        router.activate(two_priorities(2))
         for client in range(4):
             router.handle(opening(client), NOW)
         busy = [held.pending for held in router.backends.of_service("tracker")]
@@ -181,7 +181,7 @@
 
     def test_a_lower_priority_keeps_all_its_flows_under_a_burst_of_the_highest(self) -> None:
         router = make_router(*(backend(n) for n in range(1, 4)))
-        router.put_in_force(two_priorities(2))
+        router.activate(two_priorities(2))
         for client in range(300):
             router.handle(opening(client, destination=OTHER_DESTINATION), NOW)
             self.assertIsInstance(router.handle(opening(1000 + client), NOW), ForwardPacket)
@@ -192,8 +192,8 @@
 
     def answer(self, terms: RouteTerms, copies: int = 0) -> object:
         core = new_core(cold_starts=ColdStartLimits(1.0, 0.0))
-        core.use_key(KEY)
-        core.router.put_in_force(with_terms(1, terms))
+        core.set_secrets(KEY)
+        core.router.activate(with_terms(1, terms))
         core.router.may_refuse = True
         core.router.backends.update(backend(1, warm_up=5.0), 1, NOW)
         return type(core.router.handle(opening(1, copies), NOW))
@@ -226,19 +226,19 @@
 class VersionTest(unittest.TestCase):
     def test_placement_follows_the_terms_in_force(self) -> None:
         router = make_router(backend(1), backend(2, zone="far"))
-        router.put_in_force(with_terms(2, FEED))
-        router.backends.of_service("tracker")[0].doubt(NOW + 1)
+        router.activate(with_terms(2, FEED))
+        router.backends.of_service("tracker")[0].mark_doubted(NOW + 1)
         self.assertEqual(forwarded_to(router.handle(opening(1), NOW)), 1)
-        router.put_in_force(with_terms(3, POST))
+        router.activate(with_terms(3, POST))
         self.assertEqual(forwarded_to(router.handle(opening(2), NOW)), 2)
-        router.put_in_force(with_terms(2, FEED))
+        router.activate(with_terms(2, FEED))
         self.assertEqual(forwarded_to(router.handle(opening(3), NOW)), 2)
 
     def test_a_reserve_ends_with_its_route(self) -> None:
         router = make_router(backend(1))
-        router.put_in_force(two_priorities(2))
+        router.activate(two_priorities(2))
         kept = two_priorities(3).routes[:1]
-        router.put_in_force(RoutingConfiguration(3, kept))
+        router.activate(RoutingConfiguration(3, kept))
         for client in range(2):
             router.handle(opening(client), NOW)
         self.assertEqual(router.counters["reserve_kept"], 0)
--- a/tests/unit/tokens/test_placement_by_view.py
+++ b/tests/unit/tokens/test_placement_by_view.py
@@ -71,7 +71,7 @@
         router = make_router(backend(1), backend(2, "labeller"))
         parts = (RoutePart("tracker", 90), RoutePart("labeller", 10))
         route = RouteRecord("route", DESTINATION, parts)
-        router.put_in_force(RoutingConfiguration(2, (route,)))
+        router.activate(RoutingConfiguration(2, (route,)))
         counts = Counter(forwarded_to(router.handle(opening(n), 1.0)) for n in range(100))
         self.assertEqual(counts, {1: 90, 2: 10})
 
--- a/tests/unit/tokens/test_route_table.py
+++ b/tests/unit/tokens/test_route_table.py
@@ -31,7 +31,7 @@
     def make_tables(self, count: int, **weights: float) -> list[RouteTable]:
         tables = [RouteTable(random.Random(number)) for number in range(count)]
         for table in tables:
-            table.put_in_force(split_configuration(1, **weights))
+            table.activate(split_configuration(1, **weights))
         return tables
 
     def test_one_node_keeps_to_the_weights(self) -> None:
@@ -50,7 +50,7 @@
         route = tables[0].find(DESTINATION)
         assert route is not None
         first = route.next_parts()[0].service
-        tables[0].put_in_force(split_configuration(2, a=1, b=1))
+        tables[0].activate(split_configuration(2, a=1, b=1))
         after = tables[0].find(DESTINATION)
         assert after is not None
         self.assertNotEqual(after.next_parts()[0].service, first)
--- a/tests/unit/tokens/test_route_terms.py
+++ b/tests/unit/tokens/test_route_terms.py
@@ -91,7 +91,7 @@
         core = make_core(ALL_MECHANISMS)
         faulty = with_terms(4, TERMS._replace(unreadable=("priority", "kind")))
         for _ in range(2):
-            core.take_configuration((make_change(4, faulty),), 10.0)
+            core.apply_configuration((make_change(4, faulty),), 10.0)
         self.assertEqual(core.router.counters["terms_unreadable"], 2)
         self.assertEqual(terms_in_force(core).objective_seconds, 0.427)
 
@@ -123,9 +123,9 @@
         self.assertEqual(apply_difference(first, decoded), second)
         core = make_core(ALL_MECHANISMS)
         for revision, record in ((4, first), (5, second)):
-            core.take_configuration((make_change(revision, record),), 10.0)
+            core.apply_configuration((make_change(revision, record),), 10.0)
         self.assertEqual(terms_in_force(core), FEED)
-        core.take_configuration((make_change(6, first),), 10.0)
+        core.apply_configuration((make_change(6, first),), 10.0)
         self.assertEqual(terms_in_force(core), FEED)
 
     def test_a_kind_of_a_later_release_counts_as_unsafe(self) -> None:
@@ -135,12 +135,12 @@
 
 
 class EarlierReleaseTest(unittest.TestCase):
-    """A node of the previous release sends routes of three fields, without `tells_terms`."""
+    """A node of the previous release sends routes of three fields, without `includes_terms`."""
 
     def test_its_configuration_gets_default_terms(self) -> None:
         configuration = configuration_from_list(as_earlier(with_terms(4, TERMS)))
         self.assertEqual(configuration.routes[0].terms, DEFAULT_TERMS)
-        self.assertFalse(configuration.tells_terms)
+        self.assertFalse(configuration.includes_terms)
 
     def test_it_reads_the_fields_that_it_knows(self) -> None:
         name, destination, parts = configuration_to_list(with_terms(4, TERMS))[1][0][:3]
@@ -149,7 +149,7 @@
     def test_its_configuration_is_no_base_for_differences(self) -> None:
         core = make_core(ALL_MECHANISMS)
         earlier = configuration_from_list(as_earlier(with_terms(4, TERMS)))
-        core.take_configuration((make_change(4, earlier),), 10.0)
+        core.apply_configuration((make_change(4, earlier),), 10.0)
         core.join_peers("10.0.0.1", ())
         assert core.exchange is not None
         bases = core.exchange.views[1].request(1, 0).versions
@@ -160,7 +160,7 @@
         base = ConfigurationCodec(sender).choose_base(bases)
         codec = ConfigurationCodec(sender)
         decoded = codec.decode(codec.encode(delta, base)).changes
-        core.take_configuration(decoded, 10.0)
+        core.apply_configuration(decoded, 10.0)
         self.assertEqual(terms_in_force(core), TERMS)
 
 
--- a/tests/unit/tokens/test_router.py
+++ b/tests/unit/tokens/test_router.py
@@ -192,7 +192,7 @@
 
     def test_the_version_never_decreases(self) -> None:
         router = make_router(backend(7), version=5)
-        self.assertFalse(router.put_in_force(configuration(4, "labeller")))
-        self.assertFalse(router.put_in_force(configuration(5, "labeller")))
+        self.assertFalse(router.activate(configuration(4, "labeller")))
+        self.assertFalse(router.activate(configuration(5, "labeller")))
         self.assertEqual(router.routes.version, 5)
-        self.assertTrue(router.put_in_force(configuration(6, "labeller")))
+        self.assertTrue(router.activate(configuration(6, "labeller")))
--- a/tests/unit/tokens/test_token_core.py
+++ b/tests/unit/tokens/test_token_core.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from beamloom.node.backend_judge import PEER_SUSPICION_SECONDS
+from beamloom.node.backend_failure_handler import PEER_SUSPICION_SECONDS
 from beamloom.node.token_core import (
     CONFIRMATION_TIMEOUT_SECONDS,
     LATE_SECONDS,
@@ -47,48 +47,48 @@
 
     def test_stall_is_returned_when_packets_are_read_before_timers(self) -> None:
         resumed_at = START + STALL_THRESHOLD_SECONDS + 0.5
-        self.assertTrue(self.core.take_stall(resumed_at))
+        self.assertTrue(self.core.consume_stall(resumed_at))
         self.core.advance(resumed_at)
-        self.assertFalse(self.core.take_stall(resumed_at))
+        self.assertFalse(self.core.consume_stall(resumed_at))
 
     def test_stall_is_returned_once_when_packets_are_read_after_timers(self) -> None:
         resumed_at = START + STALL_THRESHOLD_SECONDS + 0.5
         self.core.advance(resumed_at)
-        self.assertTrue(self.core.take_stall(resumed_at))
-        self.assertFalse(self.core.take_stall(resumed_at))
+        self.assertTrue(self.core.consume_stall(resumed_at))
+        self.assertFalse(self.core.consume_stall(resumed_at))
 
     def test_stall_is_over_for_packets_after_the_next_tick(self) -> None:
         resumed_at = START + STALL_THRESHOLD_SECONDS + 0.5
         self.core.advance(resumed_at)
         self.core.advance(resumed_at + 0.25)
-        self.assertFalse(self.core.take_stall(resumed_at + 0.3))
+        self.assertFalse(self.core.consume_stall(resumed_at + 0.3))
 
     def test_regular_ticks_are_no_stall(self) -> None:
         self.core.advance(START + 0.25)
-        self.assertFalse(self.core.take_stall(START + 0.3))
+        self.assertFalse(self.core.consume_stall(START + 0.3))
 
 
 class CoreCase(unittest.TestCase):
     def setUp(self) -> None:
         self.core = new_core()
-        self.core.use_key(KEY)
+        self.core.set_secrets(KEY)
         self.list_backends(backend(1, "other"))
         named = NamedRecord("main", 2, configuration(1, "tracker"))
         page = ListPage((named,), False, 9, "main")
-        changes = self.core.configuration_watch.take_page(page, asked_at=START)
-        self.core.take_configuration(changes, START)
+        changes = self.core.configuration_watch.handle_page(page, asked_at=START)
+        self.core.apply_configuration(changes, START)
 
     def list_backends(self, *records: BackendRecord) -> None:
         named = tuple(NamedRecord(record.name, 3, record) for record in records)
         page = ListPage(named, False, 9, named[-1].name)
-        changes = self.core.backend_watch.take_page(page, asked_at=START)
-        self.core.take_backends(changes, START)
+        changes = self.core.backend_watch.handle_page(page, asked_at=START)
+        self.core.apply_backends(changes, START)
 
     def confirm(self, now: float) -> None:
-        self.core.backend_watch.take_changes(ChangeBatch((), 9), now)
-        self.core.take_backends((), now)
-        self.core.configuration_watch.take_changes(ChangeBatch((), 9), now)
-        self.core.take_configuration((), now)
+        self.core.backend_watch.handle_changes(ChangeBatch((), 9), now)
+        self.core.apply_backends((), now)
+        self.core.configuration_watch.handle_changes(ChangeBatch((), 9), now)
+        self.core.apply_configuration((), now)
 
     def open_flow(self, now: float, destination: bytes | None = None) -> RouterCommand:
         packet = opening(1) if destination is None else opening(1, destination=destination)
--- a/tests/unit/views/exchange_network.py
+++ b/tests/unit/views/exchange_network.py
@@ -34,7 +34,7 @@
             SharedView(
                 self.configuration,
                 ConfigurationCodec(self.history),
-                self.take_configuration,
+                self.apply_configuration,
                 late_seconds=LATE_SECONDS,
             ),
         )
@@ -44,7 +44,7 @@
     def take(self, changes: tuple[ObjectChange[BackendRecord], ...]) -> None:
         self.changed_names += [change.name for change in changes]
 
-    def take_configuration(self, changes: tuple[ObjectChange[RoutingConfiguration], ...]) -> None:
+    def apply_configuration(self, changes: tuple[ObjectChange[RoutingConfiguration], ...]) -> None:
         for change in changes:
             assert change.record is not None
             self.history.note(change.record)
@@ -111,7 +111,7 @@
             node.configuration.replace([NamedRecord("main", revision, record)], revision)
         else:
             node.configuration.apply([change], revision)
-        node.take_configuration((change,))
+        node.apply_configuration((change,))
         node.exchange.announce(self.now)
         self.flush(node)
 
--- a/tests/unit/views/test_object_watch.py
+++ b/tests/unit/views/test_object_watch.py
@@ -38,13 +38,13 @@
     def test_the_first_list_may_be_stale_and_confirms_nothing(self) -> None:
         self.begin_stale()
         self.assertEqual(self.watch.next_request(), ListRequest("", stale=True))
-        changes = self.watch.take_page(page("a", False, 10), asked_at=1.0)
+        changes = self.watch.handle_page(page("a", False, 10), asked_at=1.0)
         self.assertEqual([change.name for change in changes], ["a"])
         self.assertIsNone(self.view.confirmed_at)
         self.assertIsNone(self.view.revision)
         self.assertTrue(self.watch.holds_stale)
         self.assertEqual(self.watch.next_request(), ListRequest(""))
-        self.assertEqual(self.watch.take_page(page("a", False, 12), asked_at=2.0), ())
+        self.assertEqual(self.watch.handle_page(page("a", False, 12), asked_at=2.0), ())
         self.assertFalse(self.watch.holds_stale)
         self.assertEqual(self.view.confirmed_at, 2.0)
         self.assertEqual(self.watch.next_request(), WatchRequest(12))
@@ -52,8 +52,8 @@
     def test_a_fresh_list_corrects_a_stale_one(self) -> None:
         """A restored store may answer a stale list from the history that it lost."""
         self.begin_stale()
-        self.watch.take_page(page("ab", False, 30), asked_at=1.0)
-        changes = self.watch.take_page(page("bc", False, 21), asked_at=2.0)
+        self.watch.handle_page(page("ab", False, 30), asked_at=1.0)
+        changes = self.watch.handle_page(page("bc", False, 21), asked_at=2.0)
         self.assertEqual(
             [(change.name, change.record) for change in changes], [("c", "C"), ("a", None)]
         )
@@ -62,57 +62,57 @@
     def test_by_default_the_first_list_is_not_stale(self) -> None:
         watch: ObjectWatch[str] = ObjectWatch(self.view, random.Random(1))
         self.assertEqual(watch.next_request(), ListRequest(""))
-        watch.take_page(page("a", False, 10), asked_at=1.0)
+        watch.handle_page(page("a", False, 10), asked_at=1.0)
         self.assertEqual(self.view.confirmed_at, 1.0)
 
     def test_an_empty_stale_list_is_rejected(self) -> None:
         self.begin_stale()
-        self.watch.take_page(page("", False, 0), asked_at=0.5)
+        self.watch.handle_page(page("", False, 0), asked_at=0.5)
         self.assertFalse(self.watch.holds_stale)
         self.assertTrue(self.watch.must_list)
         self.assertEqual(self.watch.next_request(), ListRequest(""))
-        self.watch.take_page(page("", False, 3), asked_at=1.0)
+        self.watch.handle_page(page("", False, 3), asked_at=1.0)
         self.assertEqual(self.view.confirmed_at, 1.0)
 
     def test_stale_pages_of_replicas_at_different_revisions(self) -> None:
         self.begin_stale()
-        self.watch.take_page(page("ab", True, 14), asked_at=1.0)
+        self.watch.handle_page(page("ab", True, 14), asked_at=1.0)
         self.assertEqual(self.watch.next_request(), ListRequest("b", stale=True))
-        changes = self.watch.take_page(page("cd", False, 10), asked_at=1.1)
+        changes = self.watch.handle_page(page("cd", False, 10), asked_at=1.1)
         self.assertEqual([change.name for change in changes], ["a", "b", "c", "d"])
         self.assertEqual(self.watch.next_request(), ListRequest(""))
 
     def test_it_lists_all_pages_and_watches_from_the_lowest_revision(self) -> None:
         self.assertEqual(self.watch.next_request(), ListRequest(""))
-        self.assertEqual(self.watch.take_page(page("ab", True, 10), asked_at=1.0), ())
+        self.assertEqual(self.watch.handle_page(page("ab", True, 10), asked_at=1.0), ())
         self.assertTrue(self.watch.must_list)
         self.assertIsNone(self.view.revision)
         self.assertEqual(self.watch.next_request(), ListRequest("b"))
-        changes = self.watch.take_page(page("cd", False, 14), asked_at=1.1)
+        changes = self.watch.handle_page(page("cd", False, 14), asked_at=1.1)
         self.assertEqual([change.name for change in changes], ["a", "b", "c", "d"])
         self.assertFalse(self.watch.must_list)
         self.assertEqual(self.watch.next_request(), WatchRequest(10))
         self.assertEqual(self.view.confirmed_at, 1.0)
 
     def test_it_continues_from_the_revision_of_a_watch(self) -> None:
-        self.watch.take_page(page("a", False, 10), asked_at=1.0)
-        self.watch.take_changes(ChangeBatch((ObjectChange("a", 12, None),), 12), now=2.0)
+        self.watch.handle_page(page("a", False, 10), asked_at=1.0)
+        self.watch.handle_changes(ChangeBatch((ObjectChange("a", 12, None),), 12), now=2.0)
         self.assertEqual(self.watch.next_request(), WatchRequest(12))
-        self.watch.take_changes(ChangeBatch((), 11), now=3.0)
+        self.watch.handle_changes(ChangeBatch((), 11), now=3.0)
         self.assertEqual(self.watch.next_request(), WatchRequest(12))
         self.assertEqual(self.view.confirmed_at, 3.0)
 
     def test_it_continues_from_a_revision_learned_from_a_peer(self) -> None:
-        self.watch.take_page(page("a", False, 10), asked_at=1.0)
+        self.watch.handle_page(page("a", False, 10), asked_at=1.0)
         self.view.apply((ObjectChange("b", 25, "B"),), 30)
         self.assertEqual(self.watch.next_request(), WatchRequest(30))
 
     def test_after_a_lost_history_it_lists_again_and_keeps_the_view(self) -> None:
-        self.watch.take_page(page("a", False, 10), asked_at=1.0)
-        self.watch.take_lost_history()
+        self.watch.handle_page(page("a", False, 10), asked_at=1.0)
+        self.watch.handle_lost_history()
         self.assertEqual(self.watch.next_request(), ListRequest(""))
         self.assertEqual(len(self.view), 1)
-        changes = self.watch.take_page(page("b", False, 30), asked_at=2.1)
+        changes = self.watch.handle_page(page("b", False, 30), asked_at=2.1)
         self.assertEqual(
             [(change.name, change.record) for change in changes], [("b", "B"), ("a", None)]
         )
@@ -120,41 +120,41 @@
 
     def test_a_burst_of_large_versions_is_read_by_lists(self) -> None:
         """A watch returns every large version, so that the newest one arrives late."""
-        self.watch.take_page(page("a", False, 10), asked_at=1.0)
+        self.watch.handle_page(page("a", False, 10), asked_at=1.0)
         versions = (ObjectChange("a", 12, "A2"),)
-        self.watch.take_changes(ChangeBatch(versions, 12, (), LARGE_ANSWER_BYTES), now=2.0)
+        self.watch.handle_changes(ChangeBatch(versions, 12, (), LARGE_ANSWER_BYTES), now=2.0)
         self.assertEqual(self.watch.next_request(), ListRequest(""))
         newest = ListPage((NamedRecord("a", 30, "A9"),), False, 30, "a")
-        self.assertEqual(len(self.watch.take_page(newest, asked_at=2.4)), 1)
+        self.assertEqual(len(self.watch.handle_page(newest, asked_at=2.4)), 1)
         self.assertEqual(self.watch.next_request(), ListRequest(""))
-        self.assertEqual(self.watch.take_page(newest, asked_at=2.8), ())
+        self.assertEqual(self.watch.handle_page(newest, asked_at=2.8), ())
         self.assertEqual(self.view.confirmed_at, 2.8)
         self.assertEqual(self.watch.next_request(), WatchRequest(30))
 
     def test_a_failed_watch_of_a_small_kind_is_followed_by_a_list(self) -> None:
-        self.watch.take_page(page("a", False, 10), asked_at=1.0)
-        self.watch.take_failure()
+        self.watch.handle_page(page("a", False, 10), asked_at=1.0)
+        self.watch.handle_failure()
         self.assertEqual(self.watch.next_request(), ListRequest(""))
 
     def test_a_kind_of_many_objects_is_still_watched(self) -> None:
         names = "abcdefgh"[: FEW_OBJECTS + 1]
-        self.watch.take_page(page(names, False, 10), asked_at=1.0)
+        self.watch.handle_page(page(names, False, 10), asked_at=1.0)
         change = (ObjectChange("a", 12, "A2"),)
-        self.watch.take_changes(ChangeBatch(change, 12, (), LARGE_ANSWER_BYTES), now=2.0)
+        self.watch.handle_changes(ChangeBatch(change, 12, (), LARGE_ANSWER_BYTES), now=2.0)
         self.assertEqual(self.watch.next_request(), WatchRequest(12))
-        self.watch.take_failure()
+        self.watch.handle_failure()
         self.assertEqual(self.watch.next_request(), WatchRequest(12))
 
     def test_pauses_are_drawn_from_zero_to_a_bound_that_doubles(self) -> None:
-        pauses = [self.watch.take_failure() for _ in range(200)]
+        pauses = [self.watch.handle_failure() for _ in range(200)]
         self.assertLessEqual(max(pauses), MAXIMUM_PAUSE_SECONDS)
         self.assertLess(min(pauses), 0.05)
-        self.watch.take_changes(ChangeBatch((), 1), now=1.0)
+        self.watch.handle_changes(ChangeBatch((), 1), now=1.0)
         self.assertEqual(self.watch.failures, 0)
 
     def test_a_list_that_repeats_its_last_name_ends(self) -> None:
-        self.watch.take_page(page("a", True, 10), asked_at=1.0)
-        self.watch.take_page(page("a", True, 10), asked_at=1.1)
+        self.watch.handle_page(page("a", True, 10), asked_at=1.0)
+        self.watch.handle_page(page("a", True, 10), asked_at=1.1)
         self.assertFalse(self.watch.must_list)
 
 
@@ -169,11 +169,11 @@
     def take_list(self, names: str, *, era: int, number: int) -> list[str]:
         """Apply a complete list; return the names of the changed objects."""
         self.watch.next_request()
-        changes = self.watch.take_page(page(names, False, revision_in_era(era, number)), 1.0)
+        changes = self.watch.handle_page(page(names, False, revision_in_era(era, number)), 1.0)
         return [change.name for change in changes]
 
     def test_a_lower_number_of_a_new_era_is_a_higher_revision(self) -> None:
-        self.watch.take_lost_history()
+        self.watch.handle_lost_history()
         self.assertEqual(self.take_list("bc", era=2, number=21), ["c", "a"])
         self.assertEqual(self.view.revision, revision_in_era(2, 21))
         self.assertEqual(self.watch.next_request(), WatchRequest(revision_in_era(2, 21)))
@@ -182,7 +182,7 @@
         """The store may have passed the watched number, and a watch omits changes below it."""
         change = ObjectChange("c", revision_in_era(2, 31), "C")
         batch = ChangeBatch((change,), revision_in_era(2, 31))
-        self.assertEqual(self.watch.take_changes(batch, now=9.0), ())
+        self.assertEqual(self.watch.handle_changes(batch, now=9.0), ())
         self.assertEqual(self.view.confirmed_at, 1.0)
         self.assertEqual(self.watch.next_request(), ListRequest(""))
         self.assertEqual(self.take_list("c", era=2, number=31), ["c", "a", "b"])
@@ -193,33 +193,33 @@
             (ObjectChange("b", revision_in_era(1, 31), None),), revision_in_era(1, 31)
         )
         with self.assertRaises(OlderAnswerError):
-            self.watch.take_changes(batch, now=9.0)
+            self.watch.handle_changes(batch, now=9.0)
         self.assertEqual((self.view.confirmed_at, len(self.view)), (1.0, 2))
 
     def test_a_list_with_pages_of_two_eras_starts_over(self) -> None:
-        self.watch.take_lost_history()
-        self.watch.take_page(page("ab", True, revision_in_era(1, 33)), 2.0)
+        self.watch.handle_lost_history()
+        self.watch.handle_page(page("ab", True, revision_in_era(1, 33)), 2.0)
         self.assertEqual(self.watch.next_request(), ListRequest("b"))
-        self.watch.take_page(page("cd", False, revision_in_era(2, 20)), 2.1)
+        self.watch.handle_page(page("cd", False, revision_in_era(2, 20)), 2.1)
         self.assertEqual(self.watch.next_request(), ListRequest(""))
         self.assertEqual(self.take_list("cd", era=2, number=20), ["c", "d", "a", "b"])
 
     def test_a_lower_revision_in_the_same_era_is_a_failure(self) -> None:
-        self.watch.take_lost_history()
+        self.watch.handle_lost_history()
         for failures in range(1, 4):
             with self.assertRaises(OlderAnswerError):
                 self.take_list("a", era=1, number=21)
-            self.watch.take_failure()
+            self.watch.handle_failure()
             self.assertEqual(self.watch.failures, failures)
         self.assertEqual(
             (self.view.revision, self.view.confirmed_at), (revision_in_era(1, 30), 1.0)
         )
 
     def test_a_list_older_than_a_peers_delta_is_ignored(self) -> None:
-        self.watch.take_lost_history()
+        self.watch.handle_lost_history()
         self.watch.next_request()
         self.view.apply((), revision_in_era(1, 40))
-        self.assertEqual(self.watch.take_page(page("a", False, revision_in_era(1, 35)), 2.0), ())
+        self.assertEqual(self.watch.handle_page(page("a", False, revision_in_era(1, 35)), 2.0), ())
         self.assertEqual((len(self.view), self.view.confirmed_at), (2, 1.0))
         self.assertEqual(self.watch.next_request(), WatchRequest(revision_in_era(1, 40)))
 
@@ -238,11 +238,11 @@
         self.watch.next_request()
         named = tuple(NamedRecord(record.name, number, record) for record in records)
         page = ListPage(named, False, number, records[-1].name)
-        changes = self.watch.take_page(page, 1.0, tells_era=False)
+        changes = self.watch.handle_page(page, 1.0, reports_era=False)
         return [change.name for change in changes]
 
     def test_a_list_below_the_known_revision_starts_the_next_era(self) -> None:
-        self.watch.take_lost_history()
+        self.watch.handle_lost_history()
         changed = self.take_list(20, self.ready, backend(3))
         self.assertEqual(changed, [backend(3).name, backend(2).name])
         self.assertEqual(self.view.revision, revision_in_era(1, 20))
@@ -251,7 +251,7 @@
 
     def test_after_a_failed_call_it_is_listed(self) -> None:
         """The store may have passed the known number, and a watch omits changes below it."""
-        self.watch.take_failure()
+        self.watch.handle_failure()
         self.assertEqual(self.watch.next_request(), ListRequest(""))
         changed = self.take_list(33, self.draining, backend(3))
         self.assertEqual(changed, [backend(3).name, backend(2).name])
@@ -269,15 +269,15 @@
         ):
             with self.subTest(revision=revision, records=records):
                 self.setUp()
-                self.watch.take_failure()
+                self.watch.handle_failure()
                 named = tuple(NamedRecord(record.name, 29, record) for record in records)
                 page = ListPage(named, False, revision, "")
                 self.watch.next_request()
-                self.watch.take_page(page, 1.0, tells_era=False)
+                self.watch.handle_page(page, 1.0, reports_era=False)
                 self.assertEqual(self.view.revision, revision_in_era(1, revision))
 
     def test_the_same_history_stays_in_its_era(self) -> None:
-        self.watch.take_failure()
+        self.watch.handle_failure()
         self.assertEqual(self.take_list(30, self.draining, backend(2)), [])
         self.assertEqual(self.view.revision, 30)
 
@@ -286,13 +286,13 @@
         changed = ObjectChange(self.ready.name, 40, self.draining._replace(sequence=12))
         self.view.apply([changed], 40)
         named = NamedRecord(self.ready.name, 30, self.draining)
-        self.watch.take_failure()
-        self.watch.take_page(ListPage((named,), False, 35, named.name), 1.0, tells_era=False)
+        self.watch.handle_failure()
+        self.watch.handle_page(ListPage((named,), False, 35, named.name), 1.0, reports_era=False)
         self.assertEqual(self.view.revision, 40)
 
     def test_a_store_that_reports_its_era_is_still_watched(self) -> None:
-        self.watch.take_changes(ChangeBatch((), 31), now=2.0, tells_era=True)
-        self.watch.take_lost_history()
-        self.watch.take_page(ListPage((), False, 33, ""), 3.0)
-        self.watch.take_failure()
+        self.watch.handle_changes(ChangeBatch((), 31), now=2.0, reports_era=True)
+        self.watch.handle_lost_history()
+        self.watch.handle_page(ListPage((), False, 33, ""), 3.0)
+        self.watch.handle_failure()
         self.assertEqual(self.watch.next_request(), WatchRequest(33))
--- a/tests/unit/views/test_pull_choice.py
+++ b/tests/unit/views/test_pull_choice.py
@@ -169,14 +169,14 @@
         self.assertEqual(self.ask("10.0.0.4", attempt=MAXIMUM_REFERRALS), {AskElsewhere})
 
     def test_at_share_zero_it_refers_until_the_last_attempt(self) -> None:
-        self.node.exchange.use_limits(0.0)
+        self.node.exchange.limit_answers(0.0)
         self.assertEqual(self.ask("10.0.0.2", attempt=MAXIMUM_REFERRALS), {AskElsewhere})
         self.assertEqual(self.ask("10.0.0.2", attempt=MAXIMUM_REFERRALS + 1), {ViewPart})
 
     def test_a_node_without_peers_answers(self) -> None:
         lone = Node("10.0.0.1", [], random.Random(1))
         lone.view.replace([], 5)
-        lone.exchange.use_limits(0.0)
+        lone.exchange.limit_answers(0.0)
         lone.exchange.handle("10.0.0.2", ViewRequest(0, -1), 1.0)
         self.assertTrue(any(isinstance(s.message, ViewPart) for s in lone.exchange.take_sends()))
 
@@ -206,7 +206,7 @@
         network.run(6.0)
         nodes = list(network.nodes.values())
         for node in nodes[:4]:
-            node.exchange.use_limits(0.0)
+            node.exchange.limit_answers(0.0)
         network.learn(nodes[0], backend(1), revision=5)
         network.run(1.0)
         self.assertEqual(network.share_at(5), 1.0)
--- a/tests/unit/views/test_secret_exchange.py
+++ b/tests/unit/views/test_secret_exchange.py
@@ -9,8 +9,8 @@
     MAXIMUM_MEMBERS,
     MEMBER_SECONDS,
     NONCE_BYTES,
-    SecretKeeper,
-    SecretSeeker,
+    SecretRequester,
+    SecretResponder,
 )
 
 SECRET = bytes(range(16))
@@ -20,11 +20,11 @@
 
 class SeekerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.seeker = SecretSeeker(NONCE, len(SECRET))
-        self.seeker.requests([MEMBER])
+        self.requester = SecretRequester(NONCE, len(SECRET))
+        self.requester.requests([MEMBER])
 
     def test_answer_of_a_host_that_was_asked_is_accepted(self) -> None:
-        self.assertEqual(self.seeker.take(MEMBER, SecretAnswer(NONCE, SECRET)), SECRET)
+        self.assertEqual(self.requester.take(MEMBER, SecretAnswer(NONCE, SECRET)), SECRET)
 
     def test_other_messages_are_ignored(self) -> None:
         ignored: list[tuple[str, Message]] = [
@@ -36,31 +36,31 @@
         ]
         for host, message in ignored:
             with self.subTest(message=message):
-                self.assertIsNone(self.seeker.take(host, message))
+                self.assertIsNone(self.requester.take(host, message))
 
 
 class KeeperTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.keeper = SecretKeeper(SECRET)
-        self.keeper.note_member(MEMBER, 10.0)
+        self.responder = SecretResponder(SECRET)
+        self.responder.note_member(MEMBER, 10.0)
 
     def test_recent_member_is_answered(self) -> None:
-        answer = self.keeper.answer(MEMBER, SecretRequest(NONCE), 20.0)
+        answer = self.responder.answer(MEMBER, SecretRequest(NONCE), 20.0)
         assert answer is not None
         self.assertEqual((answer.host, answer.message), (MEMBER, SecretAnswer(NONCE, SECRET)))
 
     def test_unknown_hosts_and_former_members_are_not_answered(self) -> None:
-        self.assertIsNone(self.keeper.answer("10.0.0.9", SecretRequest(NONCE), 20.0))
+        self.assertIsNone(self.responder.answer("10.0.0.9", SecretRequest(NONCE), 20.0))
         late = 10.0 + MEMBER_SECONDS
-        self.assertIsNone(self.keeper.answer(MEMBER, SecretRequest(NONCE), late))
+        self.assertIsNone(self.responder.answer(MEMBER, SecretRequest(NONCE), late))
 
     def test_invalid_requests_are_not_answered(self) -> None:
         for message in (SecretRequest(b""), SecretRequest(7), SecretAnswer(NONCE, SECRET)):  # type: ignore[arg-type]
-            self.assertIsNone(self.keeper.answer(MEMBER, message, 20.0))
+            self.assertIsNone(self.responder.answer(MEMBER, message, 20.0))
 
     def test_rate_of_answers_to_a_host_is_bounded(self) -> None:
         answers = [
-            self.keeper.answer(MEMBER, SecretRequest(NONCE), 20.0 + step / 100)
+            self.responder.answer(MEMBER, SecretRequest(NONCE), 20.0 + step / 100)
             for step in range(100)
         ]
         given = sum(answer is not None for answer in answers)
@@ -68,6 +68,6 @@
 
     def test_number_of_recorded_members_is_bounded(self) -> None:
         for number in range(MAXIMUM_MEMBERS + 10):
-            self.keeper.note_member(f"h{number}", 10.0)
+            self.responder.note_member(f"h{number}", 10.0)
         last = f"h{MAXIMUM_MEMBERS + 9}"
-        self.assertIsNone(self.keeper.answer(last, SecretRequest(NONCE), 11.0))
+        self.assertIsNone(self.responder.answer(last, SecretRequest(NONCE), 11.0))
--- a/tests/unit/views/test_silence_reports.py
+++ b/tests/unit/views/test_silence_reports.py
@@ -32,19 +32,19 @@
 
     def test_only_new_reports_are_forwarded(self) -> None:
         self.note("1", 10.0, 10.0)
-        self.assertTrue(self.reports.take_news())
-        self.assertFalse(self.reports.take_news())
+        self.assertTrue(self.reports.take_unsent())
+        self.assertFalse(self.reports.take_unsent())
         self.note("1", 10.0, 10.1)
         self.note("1", 10.0 + UPDATE_STEP_SECONDS / 2, 10.6)
-        self.assertFalse(self.reports.take_news())
+        self.assertFalse(self.reports.take_unsent())
         self.note("1", 10.0 + UPDATE_STEP_SECONDS, 11.0)
-        self.assertTrue(self.reports.take_news())
+        self.assertTrue(self.reports.take_unsent())
 
     def test_of_a_hundred_reporters_two_are_kept(self) -> None:
         for number in range(100):
             self.note(f"{number}", 10.0, 10.0)
         self.assertEqual(len(self.reports.recent(10.0)), 2)
-        self.reports.take_news()
+        self.reports.take_unsent()
         self.assertTrue(self.note("late", 10.0 + UPDATE_STEP_SECONDS, 11.0))
         self.assertIn("late", [report.reporter for report in self.reports.recent(11.0)])
 
--- a/tests/unit/views/test_store_call_schedule.py
+++ b/tests/unit/views/test_store_call_schedule.py
@@ -32,7 +32,7 @@
         self.schedule = StoreCallSchedule(self.watch, self.role, rng)
 
     def take_list(self, now: float) -> None:
-        self.watch.take_page(ListPage((NamedRecord("a", 1, "A"),), False, 10, "a"), asked_at=now)
+        self.watch.handle_page(ListPage((NamedRecord("a", 1, "A"),), False, 10, "a"), asked_at=now)
         self.schedule.note_answer(now, changes=False)
 
     def test_after_a_stale_list_it_waits_for_changes_from_peers(self) -> None:
@@ -43,7 +43,7 @@
         self.assertTrue(self.schedule.must_ask(latest))
 
     def test_after_an_empty_stale_list_it_waits_for_a_list_from_peers(self) -> None:
-        self.watch.take_page(ListPage((), False, 3, ""), asked_at=1.0)
+        self.watch.handle_page(ListPage((), False, 3, ""), asked_at=1.0)
         self.schedule.note_answer(1.0, changes=False)
         self.assertFalse(self.schedule.must_ask(1.0))
         self.assertFalse(self.schedule.must_ask(1.0 + self.times.unconfirmed_seconds - 0.01))
@@ -51,14 +51,14 @@
         self.assertTrue(self.schedule.must_ask(latest))
 
     def test_a_reader_lists_at_once(self) -> None:
-        self.watch.take_page(ListPage((), False, 3, ""), asked_at=1.0)
+        self.watch.handle_page(ListPage((), False, 3, ""), asked_at=1.0)
         self.role.reading = True
         self.assertTrue(self.schedule.must_ask(1.0))
 
     def test_without_a_known_reader_a_view_becomes_stale_sooner(self) -> None:
         """After a start of all nodes, backends would be missing for the whole staleness."""
         self.take_list(1.0)
-        self.watch.take_changes(ChangeBatch((), 12), now=2.0)
+        self.watch.handle_changes(ChangeBatch((), 12), now=2.0)
         self.schedule.note_answer(2.0, changes=False)
         self.role.advance(0.0)
         self.role.advance(READER_DISCOVERY_SECONDS + MAXIMUM_START_DELAY_SECONDS)
@@ -72,7 +72,7 @@
     def test_a_node_that_just_joined_does_not_ask_sooner(self) -> None:
         """After a start of all nodes, each would ask and become a reader."""
         self.take_list(1.0)
-        self.watch.take_changes(ChangeBatch((), 12), now=2.0)
+        self.watch.handle_changes(ChangeBatch((), 12), now=2.0)
         self.schedule.note_answer(2.0, changes=False)
         self.role.advance(2.0, joined=False)
         self.assertFalse(self.schedule.must_ask(2.0 + self.times.stale_seconds - 0.01))
@@ -100,7 +100,7 @@
         self.role.reading = True
         self.role.note_answer(1.0)
         self.assertEqual(self.schedule.wait_seconds, self.times.wait_seconds)
-        self.watch.take_changes(ChangeBatch((ObjectChange("b", 12, "B"),), 12), now=2.0)
+        self.watch.handle_changes(ChangeBatch((ObjectChange("b", 12, "B"),), 12), now=2.0)
         pause = self.schedule.note_answer(2.0, changes=True)
         self.assertGreater(pause, 0.1)
         self.assertLessEqual(pause + self.schedule.wait_seconds, self.times.wait_seconds)
@@ -130,7 +130,7 @@
         self.role.reading = True
         self.assertIs(self.schedule.purpose, CallPurpose.READER)
         self.take_list(1.5)
-        self.watch.take_lost_history()
+        self.watch.handle_lost_history()
         self.assertIs(self.schedule.purpose, CallPurpose.HISTORY_LOST)
         self.schedule.note_failure(2.0)
         self.assertIs(self.schedule.purpose, CallPurpose.RETRY)
@@ -147,7 +147,7 @@
 
     def test_a_reader_of_other_kinds_asks_before_the_view_is_stale(self) -> None:
         self.take_list(1.0)
-        self.watch.take_changes(ChangeBatch((), 12), now=2.0)
+        self.watch.handle_changes(ChangeBatch((), 12), now=2.0)
         self.schedule.note_answer(2.0, changes=False)
         self.role.reading = True
         self.role.note_reader("3", 2.0)
--- a/tests/unit/views/test_view_exchange.py
+++ b/tests/unit/views/test_view_exchange.py
@@ -23,8 +23,8 @@
         for stop, expected in ((StopState.AWAY, False), (9, True)):
             digest = ViewDigest([], [], [], first.exchange.peers.zone, [], int(stop))
             first.exchange.handle("10.0.0.2", digest, 1.0)
-            first.exchange.ask_to_stop(1.0)
-            self.assertEqual(first.exchange.may_go_away(2.0), expected)
+            first.exchange.request_stop(1.0)
+            self.assertEqual(first.exchange.may_stop(2.0), expected)
 
     def test_a_confirmation_takes_effect_when_its_revision_is_merged(self) -> None:
         """Changes of other kinds must not delay confirmations, or all nodes ask the store."""
--- a/tools/soak_broken_builds.py
+++ b/tools/soak_broken_builds.py
@@ -119,8 +119,8 @@
         frozenset({"configuration"}),
         """
 def change(module):
-    put = module.RouteTable.put_in_force
-    module.RouteTable.put_in_force = lambda table, new: table.version < 0 and put(table, new)
+    put = module.RouteTable.activate
+    module.RouteTable.activate = lambda table, new: table.version < 0 and put(table, new)
 patch("beamloom.routing.tokens.route_table", change)
 """,
     ),
