--- a/tests/functional/test_object_commands.py
+++ b/tests/functional/test_object_commands.py
@@ -63,7 +63,10 @@
             ("tenant/t", ("tenant", "create", "t")),
             ("tcp://10.0.0.1:80 belongs to service t/s", twice),
             ("tcp://10.0.0.1:80 belongs to service t/s", other),
-            ("no key of a service", ("service", "create", "s", "--address", "tcp://10.0.0.1:81")),
+            (
+                "not a valid key of a service",
+                ("service", "create", "s", "--address", "tcp://10.0.0.1:81"),
+            ),
             ("there is no service/t/x", ("backend", "create", "t/x/b", *BACKEND)),
             ("weight = -1", ("backend", "create", "t/s/c", *BACKEND, "--weight=-1")),
             ("delete these first", ("tenant", "delete", "t")),
