--- a/src/beamloom/standins/__init__.py
+++ b/src/beamloom/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds the product: platform, fabric, backends, clients."""
+"""Stand-ins for the product's environment: platform, network fabric, backends and clients."""
--- a/src/beamloom/standins/backend_health.py
+++ b/src/beamloom/standins/backend_health.py
@@ -1,4 +1,4 @@
-"""What a backend's health endpoint says: the truth, or a late, frozen or false report."""
+"""Health reports of a backend, which injected faults can delay, freeze or falsify."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendHealth:
-    """One report; `load` is the requests that run or wait, as a share of the slots."""
+    """One report; `load` is the number of running and queued requests per slot."""
 
     healthy: bool
     shedding: bool
@@ -18,7 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthFaults:
-    """How reports mislead: `lag` in seconds, `frozen` repeats the last, `load` replaces it."""
+    """Faults of health reports.
+
+    Reports are `lag` seconds old; `frozen` repeats the last one; `load` and `healthy` replace the
+    true values unless they are None.
+    """
 
     lag: float = 0.0
     frozen: bool = False
@@ -27,7 +31,7 @@
 
 
 class HealthReporter:
-    """Turns true states into reports under the faults asked for."""
+    """Derives reports from true states and the configured faults."""
 
     def __init__(self) -> None:
         self.faults = HealthFaults()
@@ -35,15 +39,15 @@
         self._last: BackendHealth | None = None
 
     def observe(self, now: float, health: BackendHealth) -> None:
-        """Note a true state, so that a lagging report can be given later."""
+        """Record a true state for later reports with a lag."""
         if not self.faults.lag:
             self._history.clear()
         if not self._history or self._history[-1][1] != health:
             self._history.append((now, health))
-        self._forget_before(now - self.faults.lag)
+        self._discard_before(now - self.faults.lag)
 
     def report(self, now: float, health: BackendHealth) -> BackendHealth:
-        """Return what the endpoint says now."""
+        """Record the true state and return the report of the health endpoint."""
         self.observe(now, health)
         if self.faults.frozen and self._last is not None:
             return self._last
@@ -55,6 +59,6 @@
         self._last = report
         return report
 
-    def _forget_before(self, time: float) -> None:
+    def _discard_before(self, time: float) -> None:
         while len(self._history) > 1 and self._history[1][0] <= time:
             self._history.popleft()
--- a/src/beamloom/standins/backend_model.py
+++ b/src/beamloom/standins/backend_model.py
@@ -1,4 +1,4 @@
-"""A backend without I/O: connections, slots, a queue, shedding, drain, and what truly ran.
+"""Sans-I/O model of a backend: connections, request slots, a queue, load shedding and draining.
 
 Call `receive` and `poll` with a time `now` in seconds; each returns the packets to send.
 `next_timer` says when to call `poll`.
@@ -43,18 +43,18 @@
 from beamloom.standins.timers import TimerHeap
 
 ServiceTime = Callable[[Request, random.Random], float]
-REMEMBERED_UDP_ANSWERS = 10_000
+MAXIMUM_CACHED_UDP_ANSWERS = 10_000
 
 
-def default_service_time(request: Request, chance: random.Random) -> float:
+def default_service_time(request: Request, rng: random.Random) -> float:
     """Return exponential service times, in seconds: 5 ms for a document, 0.5 ms for an update."""
     mean = 0.005 if request.kind is RequestKind.DOCUMENT else 0.0005
-    return chance.expovariate(1.0 / mean)
+    return rng.expovariate(1.0 / mean)
 
 
 @dataclass(frozen=True, slots=True)
 class BackendOptions:
-    """Sizes and times (seconds) of a backend; a cold one is `cold_factor` times slower at first."""
+    """Limits and times (seconds); for `cold_seconds` requests take `cold_factor` times as long."""
 
     slots: int = 2
     queue_limit: int = 64
@@ -69,7 +69,10 @@
 
 @dataclass(slots=True)
 class BackendTruth:
-    """What happened at a backend, for the oracle: never told to the product."""
+    """Ground truth of one backend, for checks; the product never receives it.
+
+    `runs` holds the start times and `not_run` the reason by request id.
+    """
 
     runs: dict[str, list[float]] = field(default_factory=dict)
     not_run: dict[str, str] = field(default_factory=dict)
@@ -88,18 +91,18 @@
     address: SocketAddress
     connection: TcpConnection | None
     frames: FrameDecoder = field(default_factory=FrameDecoder)
-    last_heard: float = 0.0
+    last_received_at: float = 0.0
     unanswered: int = 0
 
 
 class BackendModel:
-    """One endpoint of one service."""
+    """One backend that serves one virtual address."""
 
     def __init__(
         self,
         backend_id: str,
         service: VirtualAddress,
-        chance: random.Random,
+        rng: random.Random,
         started_at: float = 0.0,
         options: BackendOptions | None = None,
     ) -> None:
@@ -109,7 +112,7 @@
         self.draining = False
         self.options = options or BackendOptions()
         self.health_reporter = HealthReporter()
-        self._chance = chance
+        self._rng = rng
         self._started_at = started_at
         self._local = SocketAddress(service.ip, service.port)
         self._peers: dict[SocketAddress, _Peer] = {}
@@ -127,11 +130,11 @@
 
     @property
     def busy(self) -> int:
-        """How many requests run or wait."""
+        """How many requests are running or queued."""
         return self._slots.busy
 
     def receive(self, data: bytes, now: float) -> list[bytes]:
-        """Take a packet that a balancer forwarded."""
+        """Process a packet that a balancer forwarded."""
         try:
             packet = parse_packet(data)
         except MalformedPacketError:
@@ -142,7 +145,7 @@
         return self._finish_call(now)
 
     def poll(self, now: float) -> list[bytes]:
-        """Finish requests and send again what is due."""
+        """Answer finished requests, start queued ones and run the connections' timers."""
         for job in self._slots.finish_due(now):
             answers = answer_parts(job.request, self.backend_id)
             self._send(job.request, job.owner, answers, now)
@@ -152,12 +155,12 @@
         return self._finish_call(now)
 
     def next_timer(self) -> float | None:
-        """When to call `poll`."""
+        """Return when to call `poll` next; None if no timer is set."""
         times = (self._slots.next_time(), self._timers.next_time())
         return min((time for time in times if time is not None), default=None)
 
     def drain(self, draining: bool = True) -> None:
-        """Report that no new work should come; whatever still comes is served."""
+        """Set whether reports say that the backend drains; requests are served either way."""
         self.draining = draining
 
     def push(self, now: float, body: bytes = b"") -> list[bytes]:
@@ -166,15 +169,15 @@
         for peer in list(self._peers.values()):
             if peer.connection and peer.connection.state is ConnectionState.OPEN:
                 peer.connection.send(message, now)
-                self._settle(peer, now)
+                self._update_connection(peer, now)
         return self._finish_call(now)
 
     def health(self, now: float) -> BackendHealth:
-        """Return what the health endpoint says, which may lag or lie."""
+        """Return the health report, which faults can falsify."""
         return self.health_reporter.report(now, self.true_health())
 
     def true_health(self) -> BackendHealth:
-        """Return the state as it is."""
+        """Return the true health."""
         at_limit = len(self._peers) >= self.options.connection_limit
         load = self.busy / self.options.slots
         return BackendHealth(True, self._slots.full or at_limit, self.draining, load)
@@ -198,11 +201,11 @@
         if peer is None:
             peer = self._accept(packet, now)
         elif peer.connection is not None:
-            peer.last_heard = now
+            peer.last_received_at = now
             peer.connection.receive(packet, now)
         if peer is not None:
             self._read(peer, now)
-            self._settle(peer, now)
+            self._update_connection(peer, now)
 
     def _accept(self, packet: Packet, now: float) -> _Peer | None:
         if packet.has(RST):
@@ -217,10 +220,10 @@
             self._packets.append(build_packet(reset_for(packet, text)))
             return None
         connection = TcpConnection(
-            self._local, packet.source, self._chance.getrandbits(32), self.options.tcp
+            self._local, packet.source, self._rng.getrandbits(32), self.options.tcp
         )
         connection.accept(packet, now)
-        peer = _Peer(packet.source, connection, last_heard=now)
+        peer = _Peer(packet.source, connection, last_received_at=now)
         self._peers[packet.source] = peer
         self.truth.new_connections.append(now)
         return peer
@@ -231,13 +234,13 @@
             return
         try:
             for data in peer.frames.feed(connection.take_data()):
-                self._offer(decode_request(data), peer, now)
+                self._enqueue(decode_request(data), peer, now)
         except ApplicationError:
             self.truth.malformed += 1
             connection.abort()
 
-    def _settle(self, peer: _Peer, now: float) -> None:
-        """Collect a connection's packets, re-arm its timer, and forget it once it has ended."""
+    def _update_connection(self, peer: _Peer, now: float) -> None:
+        """Collect a connection's packets and re-arm its timer, or remove it once it has ended."""
         connection = peer.connection
         if connection is None:
             return
@@ -249,20 +252,20 @@
             self._timers.arm(peer.address, None)
             self._cancel_jobs(peer, now)
             return
-        idle_at = peer.last_heard + self.options.idle_timeout
+        idle_at = peer.last_received_at + self.options.idle_timeout
         self._timers.arm(peer.address, min(connection.next_timer() or idle_at, idle_at))
 
     def _poll_peer(self, address: SocketAddress, now: float) -> None:
         peer = self._peers.get(address)
         if peer is None or peer.connection is None:
             return
-        if now >= peer.last_heard + self.options.idle_timeout:
+        if now >= peer.last_received_at + self.options.idle_timeout:
             peer.connection.abort()
         peer.connection.poll(now)
-        self._settle(peer, now)
+        self._update_connection(peer, now)
 
     def _cancel_jobs(self, peer: _Peer, now: float) -> None:
-        """Free what an ended connection held: its waiting requests will not run."""
+        """Cancel the requests of an ended connection; queued ones never run."""
         for job in self._slots.cancel(peer):
             self.truth.not_run[job.request.request_id] = "cancelled"
         self._start_waiting(now)
@@ -278,12 +281,12 @@
             self._packets += self._udp_answers[key] or []
             return
         self._udp_answers[key] = None
-        if len(self._udp_answers) > REMEMBERED_UDP_ANSWERS:
+        if len(self._udp_answers) > MAXIMUM_CACHED_UDP_ANSWERS:
             del self._udp_answers[next(iter(self._udp_answers))]
         self.truth.new_connections.append(now)
-        self._offer(request, _Peer(packet.source, None), now)
+        self._enqueue(request, _Peer(packet.source, None), now)
 
-    def _offer(self, request: Request, peer: _Peer, now: float) -> None:
+    def _enqueue(self, request: Request, peer: _Peer, now: float) -> None:
         peer.unanswered += 1
         if not self._slots.offer(request, peer, now):
             self.truth.shed_requests += 1
@@ -292,14 +295,14 @@
         self._start_waiting(now)
 
     def _start_waiting(self, now: float) -> None:
-        started, late = self._slots.start_waiting(now)
+        started, expired = self._slots.start_waiting(now)
         for job in started:
             self.truth.runs.setdefault(job.request.request_id, []).append(now)
-        for job in late:
+        for job in expired:
             self._answer_not_run(job.request, job.owner, AnswerStatus.REFUSED, now)
 
     def _service_time(self, request: Request, now: float) -> float:
-        seconds = self.options.service_time(request, self._chance)
+        seconds = self.options.service_time(request, self._rng)
         cold = now < self._started_at + self.options.cold_seconds
         return seconds * self.options.cold_factor if cold else seconds
 
@@ -313,7 +316,7 @@
         peer.unanswered -= 1
         if peer.connection is not None:
             peer.connection.send(b"".join(map(frame, answers)), now)
-            self._settle(peer, now)
+            self._update_connection(peer, now)
             return
         packets = [
             build_packet(
--- a/src/beamloom/standins/backend_process.py
+++ b/src/beamloom/standins/backend_process.py
@@ -1,4 +1,4 @@
-"""A backend on sockets: packets in UDP for its service, health and faults over HTTP.
+"""Runs a backend model on sockets: packets over UDP, health and faults over HTTP.
 
 `GET /health` answers `{"healthy", "shedding", "draining", "load"}`. `POST /faults` takes the fields
 of `HealthFaults`, `POST /drain` takes `{"draining": true}`.
@@ -41,20 +41,20 @@
 
 
 class BackendProcess:
-    """Runs one `BackendModel`; answers leave by a random balancer of the list.
+    """Runs one `BackendModel` and sends each packet to a random one of `balancers`.
 
-    With an empty list they go to the balancer that sent the latest packet.
+    Without `balancers`, packets go to the sender of the latest packet.
     """
 
     def __init__(
         self,
         model: BackendModel,
-        chance: random.Random,
+        rng: random.Random,
         balancers: Sequence[SocketAddress] = (),
     ) -> None:
         self.model = model
         self.balancers = list(balancers)
-        self._chance = chance
+        self._rng = rng
         self._latest_sender: SocketAddress | None = None
         self._socket: UdpSocket | None = None
         self._health: HttpServer | None = None
@@ -86,12 +86,15 @@
         self._timer = PollTimer(self.model.next_timer, self._poll)
 
     async def wait_idle(self) -> None:
-        """Wait until no connection is open and no request runs or waits."""
-        self._note_idle()
+        """Wait until no connection is open and no request is running or queued."""
+        self._update_idle()
         await self._idle.wait()
 
     async def stop(self) -> None:
-        """Close both sockets at once; `model.drain()` and `wait_idle()` first cut off nothing."""
+        """Close both sockets at once.
+
+        For a graceful stop, call `model.drain()` and await `wait_idle()` first.
+        """
         if self._timer is not None:
             self._timer.stop()
         if self._socket is not None:
@@ -110,13 +113,13 @@
 
     def _send(self, packets: list[bytes]) -> None:
         for data in packets:
-            balancer = self._chance.choice(self.balancers) if self.balancers else None
+            balancer = self._rng.choice(self.balancers) if self.balancers else None
             destination = balancer or self._latest_sender
             if destination is not None and self._socket is not None:
                 self._socket.send(data, destination)
-        self._note_idle()
+        self._update_idle()
 
-    def _note_idle(self) -> None:
+    def _update_idle(self) -> None:
         if self.model.open_connections or self.model.busy:
             self._idle.clear()
         else:
@@ -135,16 +138,16 @@
 
     async def _post_faults(self, request: web.Request) -> web.Response:
         try:
-            wanted = FaultsRequest.model_validate_json(await request.read())
+            body = FaultsRequest.model_validate_json(await request.read())
         except ValidationError as error:
             return web.json_response({"error": str(error)}, status=400)
-        self.model.health_reporter.faults = HealthFaults(**wanted.model_dump())
-        return web.json_response(wanted.model_dump())
+        self.model.health_reporter.faults = HealthFaults(**body.model_dump())
+        return web.json_response(body.model_dump())
 
     async def _post_drain(self, request: web.Request) -> web.Response:
         try:
-            wanted = DrainRequest.model_validate_json(await request.read() or b"{}")
+            body = DrainRequest.model_validate_json(await request.read() or b"{}")
         except ValidationError as error:
             return web.json_response({"error": str(error)}, status=400)
-        self.model.drain(wanted.draining)
-        return web.json_response(wanted.model_dump())
+        self.model.drain(body.draining)
+        return web.json_response(body.model_dump())
--- a/src/beamloom/standins/backend_slots.py
+++ b/src/beamloom/standins/backend_slots.py
@@ -1,4 +1,4 @@
-"""The slots of a backend: how many requests run at once, and the bounded queue before them."""
+"""The request slots of a backend, and the bounded queue of requests that wait for one."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job(Generic[Owner]):
-    """A request taken in; it may not start after `latest_start` (seconds, None: any time)."""
+    """An accepted request; it must start before `latest_start` (seconds; None: no deadline)."""
 
     request: Request
     owner: Owner
@@ -23,7 +23,7 @@
 
 
 class RequestSlots(Generic[Owner]):
-    """Runs at most `slots` requests, each for as long as `service_time(request, now)` says."""
+    """Runs at most `slots` requests at once, each for `service_time(request, now)` seconds."""
 
     def __init__(
         self, slots: int, queue_limit: int, service_time: Callable[[Request, float], float]
@@ -37,7 +37,7 @@
 
     @property
     def busy(self) -> int:
-        """How many requests run or wait."""
+        """How many requests are running or queued."""
         return len(self._running) + len(self._queue)
 
     @property
@@ -46,7 +46,7 @@
         return self.busy >= self._slots + self._queue_limit
 
     def offer(self, request: Request, owner: Owner, now: float) -> bool:
-        """Queue a request; returns False when it must be shed."""
+        """Queue a request; returns False if the queue is full."""
         if self.full:
             return False
         deadline = request.deadline_milliseconds / 1000
@@ -54,27 +54,27 @@
         return True
 
     def start_waiting(self, now: float) -> tuple[list[Job[Owner]], list[Job[Owner]]]:
-        """Fill free slots; returns the jobs now started and those too late to start."""
+        """Fill free slots; returns the started jobs and those whose deadline has passed."""
         started: list[Job[Owner]] = []
-        late: list[Job[Owner]] = []
+        expired: list[Job[Owner]] = []
         while self._queue and len(self._running) < self._slots:
             job = self._queue.popleft()
             if job.latest_start is not None and now >= job.latest_start:
-                late.append(job)
+                expired.append(job)
                 continue
             self._running.add(job)
             self._finishing.arm(job, now + self._service_time(job.request, now))
             started.append(job)
-        return started, late
+        return started, expired
 
     def finish_due(self, now: float) -> list[Job[Owner]]:
-        """Free the slots of requests whose time is over and return them."""
+        """Free the slots of jobs whose service time is over and return these jobs."""
         finished = self._finishing.pop_due(now)
         self._running.difference_update(finished)
         return finished
 
     def cancel(self, owner: Owner) -> list[Job[Owner]]:
-        """Drop an owner's jobs: free their slots; returns those that had not started."""
+        """Remove an owner's jobs, freeing their slots; returns those that had not started."""
         for job in [job for job in self._running if job.owner is owner]:
             self._running.discard(job)
             self._finishing.arm(job, None)
@@ -84,5 +84,5 @@
         return waiting
 
     def next_time(self) -> float | None:
-        """When the next running request finishes."""
+        """Return when the next running request finishes, or None if none runs."""
         return self._finishing.next_time()
--- a/src/beamloom/standins/fabric_model.py
+++ b/src/beamloom/standins/fabric_model.py
@@ -135,7 +135,7 @@
         return due
 
     def next_timer(self) -> float | None:
-        """When to call `poll`."""
+        """Return when to call `poll` next; None if no timer is set."""
         times = [entry[0] for entry in (*self._held[:1], *self._lists[:1])]
         return min(times, default=None)
 
