--- a/src/beamloom/standins/fabric_model.py
+++ b/src/beamloom/standins/fabric_model.py
@@ -1,6 +1,6 @@
-"""The network fabric without I/O: it sprays packets over balancers and returns answers.
+"""Sans-I/O model of the network fabric, which sprays packets over balancers and returns answers.
 
-The packets of one flow may reach any balancer. The list of balancers takes effect after a lag.
+Each packet of a flow may reach another balancer. A new list of balancers takes effect after a lag.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class FabricSide(Enum):
-    """Which of the fabric's two sockets a packet leaves from."""
+    """The socket of the fabric that sends a packet: the one to clients or to balancers."""
 
     CLIENTS = "clients"
     BALANCERS = "balancers"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FabricOptions:
-    """Faults are shares from 0 to 1; `reorder_delay` and `list_lag` are in seconds."""
+    """Probabilities of faults per packet; `reorder_delay` and `list_lag` are in seconds."""
 
     spray: Spray = Spray.RANDOM
     loss: float = 0.0
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class FabricCounters:
-    """Packets by what became of them."""
+    """Counters of packets by outcome."""
 
     to_balancers: int = 0
     to_clients: int = 0
@@ -66,42 +66,43 @@
 
 
 class FabricModel:
-    """Each call returns what to send now; `next_timer` says when to call `poll`.
+    """Each call returns what to send now; `next_timer` returns when to call `poll`.
 
-    Clients are learnt by the inner source address of their packets, or given as `clients`.
+    The socket address of a client is learned from the inner source address of its packets, or given
+    in `clients`.
     """
 
     def __init__(
         self,
-        chance: random.Random,
+        rng: random.Random,
         options: FabricOptions | None = None,
         balancers: Sequence[SocketAddress] = (),
         clients: Mapping[str, SocketAddress] | None = None,
     ) -> None:
         self.options = options or FabricOptions()
         self.counters = FabricCounters()
-        self._chance = chance
+        self._rng = rng
         self._balancers = tuple(balancers)
         self._clients = dict(clients or {})
-        self._turn = count()
-        self._order = count()
-        self._held: list[tuple[float, int, Delivery]] = []
-        self._lists: list[tuple[float, int, tuple[SocketAddress, ...]]] = []
+        self._round_robin_index = count()
+        self._insertion_order = count()
+        self._delayed: list[tuple[float, int, Delivery]] = []
+        self._pending_lists: list[tuple[float, int, tuple[SocketAddress, ...]]] = []
 
     @property
     def balancers(self) -> tuple[SocketAddress, ...]:
-        """The balancers that packets go to now."""
+        """The list of balancers in effect."""
         return self._balancers
 
     def set_balancers(self, balancers: Sequence[SocketAddress], now: float) -> None:
-        """Change the list; it takes effect after the lag."""
+        """Replace the list of balancers; it takes effect after `list_lag`."""
         when = now + self.options.list_lag
-        heapq.heappush(self._lists, (when, next(self._order), tuple(balancers)))
-        self._apply_lists(now)
+        heapq.heappush(self._pending_lists, (when, next(self._insertion_order), tuple(balancers)))
+        self._apply_due_lists(now)
 
     def from_client(self, data: bytes, sender: SocketAddress, now: float) -> list[Delivery]:
-        """Take a packet from a client's socket."""
-        self._apply_lists(now)
+        """Process a packet from a client's socket."""
+        self._apply_due_lists(now)
         try:
             self._clients[source_ip(data)] = sender
         except MalformedPacketError:
@@ -111,10 +112,12 @@
             self.counters.no_balancer += 1
             return []
         self.counters.to_balancers += 1
-        return self._with_faults(Delivery(FabricSide.BALANCERS, self._choose(), data), now)
+        return self._apply_faults(
+            Delivery(FabricSide.BALANCERS, self._choose_balancer(), data), now
+        )
 
     def from_balancer(self, data: bytes, now: float) -> list[Delivery]:
-        """Take an answer from a balancer."""
+        """Process an answer from a balancer."""
         try:
             client = self._clients.get(destination_ip(data))
         except MalformedPacketError:
@@ -124,43 +127,43 @@
             self.counters.unknown_client += 1
             return []
         self.counters.to_clients += 1
-        return self._with_faults(Delivery(FabricSide.CLIENTS, client, data), now)
+        return self._apply_faults(Delivery(FabricSide.CLIENTS, client, data), now)
 
     def poll(self, now: float) -> list[Delivery]:
-        """Return the held packets that are due."""
-        self._apply_lists(now)
+        """Apply lists of balancers that are due and return delayed packets that are due."""
+        self._apply_due_lists(now)
         due: list[Delivery] = []
-        while self._held and self._held[0][0] <= now:
-            due.append(heapq.heappop(self._held)[2])
+        while self._delayed and self._delayed[0][0] <= now:
+            due.append(heapq.heappop(self._delayed)[2])
         return due
 
     def next_timer(self) -> float | None:
         """Return when to call `poll` next; None if no timer is set."""
-        times = [entry[0] for entry in (*self._held[:1], *self._lists[:1])]
+        times = [entry[0] for entry in (*self._delayed[:1], *self._pending_lists[:1])]
         return min(times, default=None)
 
-    def _apply_lists(self, now: float) -> None:
-        while self._lists and self._lists[0][0] <= now:
-            self._balancers = heapq.heappop(self._lists)[2]
+    def _apply_due_lists(self, now: float) -> None:
+        while self._pending_lists and self._pending_lists[0][0] <= now:
+            self._balancers = heapq.heappop(self._pending_lists)[2]
 
-    def _choose(self) -> SocketAddress:
+    def _choose_balancer(self) -> SocketAddress:
         if self.options.spray is Spray.ROUND_ROBIN:
-            return self._balancers[next(self._turn) % len(self._balancers)]
-        return self._chance.choice(self._balancers)
+            return self._balancers[next(self._round_robin_index) % len(self._balancers)]
+        return self._rng.choice(self._balancers)
 
-    def _with_faults(self, delivery: Delivery, now: float) -> list[Delivery]:
-        if self._happens(self.options.loss):
+    def _apply_faults(self, delivery: Delivery, now: float) -> list[Delivery]:
+        if self._draw(self.options.loss):
             self.counters.lost += 1
             return []
         copies = [delivery]
-        if self._happens(self.options.duplication):
+        if self._draw(self.options.duplication):
             self.counters.duplicated += 1
             copies.append(delivery)
-        if self._happens(self.options.reordering):
+        if self._draw(self.options.reordering):
             self.counters.reordered += 1
-            held = (now + self.options.reorder_delay, next(self._order), copies.pop())
-            heapq.heappush(self._held, held)
+            delayed = (now + self.options.reorder_delay, next(self._insertion_order), copies.pop())
+            heapq.heappush(self._delayed, delayed)
         return copies
 
-    def _happens(self, share: float) -> bool:
-        return share > 0 and self._chance.random() < share
+    def _draw(self, probability: float) -> bool:
+        return probability > 0 and self._rng.random() < probability
--- a/src/beamloom/standins/fabric_process.py
+++ b/src/beamloom/standins/fabric_process.py
@@ -1,4 +1,4 @@
-"""The network fabric on sockets: one towards clients, one towards balancers, and an HTTP endpoint.
+"""Runs a fabric model on sockets: one for clients, one for balancers, and an HTTP endpoint.
 
 `GET /balancers` answers `{"balancers": ["host:port", ...]}`; `PUT /balancers` takes the same.
 """
@@ -31,16 +31,16 @@
     @property
     def client_address(self) -> SocketAddress:
         """Where clients send packets."""
-        return _opened(self._clients).address
+        return _require_open(self._clients).address
 
     @property
     def balancer_address(self) -> SocketAddress:
-        """Where balancers send answers, and where packets to them come from."""
-        return _opened(self._balancers).address
+        """Where balancers send answers, and the source of packets to balancers."""
+        return _require_open(self._balancers).address
 
     @property
     def admin_address(self) -> SocketAddress | None:
-        """Where the HTTP endpoint listens, if it was asked for."""
+        """Where the HTTP endpoint listens, or None without one."""
         return self._admin.address if self._admin else None
 
     async def start(
@@ -49,7 +49,7 @@
         balancer_address: SocketAddress = LOOPBACK,
         admin_address: SocketAddress | None = None,
     ) -> None:
-        """Bind the sockets; raises OSError when an address is taken, and then binds none."""
+        """Bind the sockets; raises OSError and closes them all when an address is taken."""
         try:
             self._clients = await UdpSocket.open(client_address, self._receive_from_client)
             self._balancers = await UdpSocket.open(balancer_address, self._receive_from_balancer)
@@ -64,14 +64,14 @@
         """Close the sockets at once."""
         if self._timer is not None:
             self._timer.stop()
-        for opened in (self._clients, self._balancers):
-            if opened is not None:
-                opened.close()
+        for udp_socket in (self._clients, self._balancers):
+            if udp_socket is not None:
+                udp_socket.close()
         if self._admin is not None:
             await self._admin.close()
 
     def set_balancers(self, balancers: list[SocketAddress]) -> None:
-        """Change the list of balancers; it takes effect after the model's lag."""
+        """Replace the list of balancers; it takes effect after the model's `list_lag`."""
         self.model.set_balancers(balancers, asyncio.get_running_loop().time())
         self._rearm()
 
@@ -94,9 +94,9 @@
 
     def _send(self, deliveries: list[Delivery]) -> None:
         for delivery in deliveries:
-            clients = delivery.side is FabricSide.CLIENTS
-            leaving = self._clients if clients else self._balancers
-            _opened(leaving).send(delivery.data, delivery.destination)
+            to_clients = delivery.side is FabricSide.CLIENTS
+            sender = self._clients if to_clients else self._balancers
+            _require_open(sender).send(delivery.data, delivery.destination)
 
     def _routes(self) -> list[web.RouteDef]:
         return [
@@ -117,7 +117,7 @@
         return await self._get_balancers(request)
 
 
-def _opened(opened: UdpSocket | None) -> UdpSocket:
-    if opened is None:
+def _require_open(udp_socket: UdpSocket | None) -> UdpSocket:
+    if udp_socket is None:
         raise RuntimeError("the fabric is not running; await start first")
-    return opened
+    return udp_socket
--- a/src/beamloom/standins/http_server.py
+++ b/src/beamloom/standins/http_server.py
@@ -1,4 +1,4 @@
-"""The asyncio adapter for the small HTTP endpoints of the stand-ins."""
+"""HTTP server for the administration and health endpoints of the stand-ins."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class HttpServer:
-    """An aiohttp server with some routes."""
+    """An aiohttp server for a fixed set of routes."""
 
     def __init__(self, runner: web.AppRunner) -> None:
         self._runner = runner
 
     @classmethod
     async def open(cls, address: SocketAddress, routes: Iterable[web.RouteDef]) -> HttpServer:
-        """Listen (port 0 takes any free one); raises OSError when the address is taken."""
+        """Listen (port 0: any free port); raises OSError when the address is taken."""
         application = web.Application()
         application.add_routes(routes)
         runner = web.AppRunner(application, access_log=None, shutdown_timeout=1.0)
--- a/src/beamloom/standins/listener.py
+++ b/src/beamloom/standins/listener.py
@@ -1,4 +1,4 @@
-"""A TCP listener at an endpoint's address: connections show that it is there, and get no answer."""
+"""TCP listener of an endpoint: connection checks succeed, and nothing is served."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Listener:
-    """Listens at once; `accept` is to be called now and then, or the queue of connections fills."""
+    """Listens from construction on; call `accept` regularly, or the backlog fills."""
 
     def __init__(self, host: str, port: int) -> None:
         self._socket = socket.create_server((host, port), backlog=BACKLOG)
         self._socket.setblocking(False)
 
     def accept(self) -> None:
-        """Take the connections that wait, and close them."""
+        """Accept and close all pending connections."""
         while True:
             try:
                 connection, _ = self._socket.accept()
@@ -24,5 +24,5 @@
             connection.close()
 
     def close(self) -> None:
-        """Leave the address."""
+        """Stop listening."""
         self._socket.close()
--- a/tests/unit/test_fabric_model.py
+++ b/tests/unit/test_fabric_model.py
@@ -1,4 +1,4 @@
-"""The fabric sprays each packet anew, returns answers to their client, and takes lists late."""
+"""The fabric sprays packets, returns answers, injects faults and delays lists of balancers."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 
 
 class FabricModelTest(unittest.TestCase):
-    def test_one_flow_meets_every_balancer(self) -> None:
+    def test_packets_of_one_flow_are_spread_over_all_balancers(self) -> None:
         for spray in Spray:
             model = fabric(FabricOptions(spray=spray))
             sent = [model.from_client(REQUEST, SOCKET, 0.0)[0] for _ in range(1_000)]
@@ -40,7 +40,7 @@
             expected = [Delivery(FabricSide.CLIENTS, client, answer)]
             self.assertEqual(model.from_balancer(answer, 0.0), expected)
 
-    def test_packet_of_a_balancer_teaches_no_client(self) -> None:
+    def test_packets_of_balancers_register_no_client(self) -> None:
         model = fabric()
         model.from_balancer(ANSWER, 0.0)
         self.assertEqual(model.from_balancer(REQUEST, 0.0), [])
@@ -53,17 +53,17 @@
         self.assertEqual(model.from_client(REQUEST, SOCKET, 15.0), [])
         self.assertEqual((model.counters.no_balancer, model.next_timer()), (1, None))
 
-    def test_faults_happen_at_their_rates_and_nothing_is_lost_unseen(self) -> None:
+    def test_faults_occur_at_their_rates_and_every_lost_packet_is_counted(self) -> None:
         options = FabricOptions(loss=0.1, duplication=0.1, reordering=0.2, reorder_delay=0.5)
         model = fabric(options)
         at_once = sum(len(model.from_client(REQUEST, SOCKET, 0.0)) for _ in range(10_000))
         self.assertEqual((model.poll(0.4), model.next_timer()), ([], 0.5))
-        held = len(model.poll(0.5))
+        delayed = len(model.poll(0.5))
         counters = model.counters
-        self.assertEqual(at_once + held, 10_000 - counters.lost + counters.duplicated)
-        self.assertEqual(held, counters.reordered)
-        for seen, share in ((counters.lost, 0.1), (counters.duplicated, 0.09), (held, 0.18)):
-            self.assertAlmostEqual(seen / 10_000, share, delta=0.02)
+        self.assertEqual(at_once + delayed, 10_000 - counters.lost + counters.duplicated)
+        self.assertEqual(delayed, counters.reordered)
+        for count, share in ((counters.lost, 0.1), (counters.duplicated, 0.09), (delayed, 0.18)):
+            self.assertAlmostEqual(count / 10_000, share, delta=0.02)
 
     def test_malformed_packets_are_counted(self) -> None:
         model = fabric()
