--- a/src/beamloom/standins/platform_faults.py
+++ b/src/beamloom/standins/platform_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the platform's stand-in shows on request."""
+"""Injected faults of the platform stand-in."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultPlan:
-    """What is to go wrong.
+    """The faults to inject.
 
-    `down` refuses every request and cuts watches; `delay_seconds` passes before a request is run;
-    the next `lost_answers` writes, and further ones with `lost_answer_probability` (0 to 1), take
-    effect but are never answered.
+    `down` refuses every request and ends watches; `delay_seconds` is the delay before a request is
+    executed; the next `lost_answers` writes, and later ones with `lost_answer_probability` (0 to
+    1), take effect but are not answered.
     """
 
     down: bool = False
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultDecision:
-    """What befalls one request: refused, run after a delay in seconds, or run unanswered."""
+    """The faults of one request: refusal, a delay before execution, or a lost answer."""
 
     unavailable: bool = False
     delay_seconds: float = 0.0
@@ -37,23 +37,23 @@
 
 
 class StoreFaults:
-    """The faults in force; chance comes from the handed-in `random`."""
+    """The active fault plan; `rng` draws lost answers."""
 
-    def __init__(self, random: Random) -> None:
-        self._random = random
+    def __init__(self, rng: Random) -> None:
+        self._rng = rng
         self._plan = FaultPlan()
 
     @property
     def plan(self) -> FaultPlan:
-        """The plan in force, with the lost answers that are still to come."""
+        """The active plan; `lost_answers` counts those still to lose."""
         return self._plan
 
     def inject(self, plan: FaultPlan) -> None:
-        """Replace the plan in force; `FaultPlan()` ends all faults."""
+        """Replace the active plan; `FaultPlan()` ends all faults."""
         self._plan = plan
 
     def decide(self, *, is_write: bool) -> FaultDecision:
-        """Draw what befalls the next request."""
+        """Decide the faults of the next request."""
         if self._plan.down:
             return FaultDecision(unavailable=True)
         lose = is_write and self._draw_lost_answer()
@@ -64,4 +64,4 @@
             self._plan = replace(self._plan, lost_answers=self._plan.lost_answers - 1)
             return True
         probability = self._plan.lost_answer_probability
-        return probability > 0 and self._random.random() < probability
+        return probability > 0 and self._rng.random() < probability
--- a/src/beamloom/standins/platform_machines.py
+++ b/src/beamloom/standins/platform_machines.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving machines, which lags behind the truth."""
+"""The platform's list of live and leaving machines, which lags behind their reports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineListSettings:
-    """Times in seconds: how late the list is, and how long a machine without heartbeat stays."""
+    """Lag of the list, and time after which a machine without heartbeats expires (seconds)."""
 
     lag_seconds: float = 2.0
     expiry_seconds: float = 30.0
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineRecord:
-    """What one machine reported, and when."""
+    """One machine and the times of its reports."""
 
     machine: Machine
     registered_at: float
@@ -27,35 +27,35 @@
 
 
 class MachineDirectory:
-    """Sans-I/O record of machines; every time is in seconds on the caller's clock."""
+    """Sans-I/O registry of machines; times are in seconds on the caller's clock."""
 
     def __init__(self, settings: MachineListSettings | None = None) -> None:
         self._settings = settings or MachineListSettings()
         self._records: dict[NodeId, MachineRecord] = {}
 
     def register(self, machine: Machine, now: float) -> None:
-        """Enter a machine; a known one counts as come back, under its new addresses."""
+        """Register a machine, replacing any earlier registration and departure."""
         self._records[machine.node_id] = MachineRecord(machine, now, now)
 
     def heartbeat(self, node_id: NodeId, now: float) -> bool:
-        """Note that a machine lives; false where it must register (again)."""
+        """Record a heartbeat; returns False if the machine must register first."""
         return self._update(node_id, heartbeat_at=now)
 
     def leave(self, node_id: NodeId, now: float) -> bool:
-        """Note that a machine is leaving; false where it is not known."""
+        """Mark a machine as leaving; returns False if it is unknown."""
         return self._update(node_id, left_at=now)
 
     def listing(self, now: float) -> MachineListing:
-        """Return the machines as the platform sees them: as they were `lag_seconds` ago."""
-        seen_at = now - self._settings.lag_seconds
-        self._forget_expired(seen_at)
+        """Return the list; registrations and departures appear after `lag_seconds`."""
+        listed_at = now - self._settings.lag_seconds
+        self._remove_expired(listed_at)
         live: list[Machine] = []
         leaving: list[Machine] = []
         for node_id in sorted(self._records):
             record = self._records[node_id]
-            if record.registered_at > seen_at:
+            if record.registered_at > listed_at:
                 continue
-            has_left = record.left_at is not None and record.left_at <= seen_at
+            has_left = record.left_at is not None and record.left_at <= listed_at
             (leaving if has_left else live).append(record.machine)
         return MachineListing(tuple(live), tuple(leaving))
 
@@ -66,8 +66,8 @@
         self._records[node_id] = replace(record, **changes)  # type: ignore[arg-type]
         return True
 
-    def _forget_expired(self, seen_at: float) -> None:
-        oldest = seen_at - self._settings.expiry_seconds
+    def _remove_expired(self, listed_at: float) -> None:
+        oldest = listed_at - self._settings.expiry_seconds
         expired = [name for name, record in self._records.items() if record.heartbeat_at < oldest]
         for name in expired:
             del self._records[name]
--- a/src/beamloom/standins/platform_server.py
+++ b/src/beamloom/standins/platform_server.py
@@ -1,4 +1,4 @@
-"""HTTP/JSON stand-in of the platform over a `PlatformStore`, with faults on request."""
+"""HTTP/JSON server that stands in for the platform, over a `PlatformStore` with injected faults."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 
 
 class WatchStream:
-    """One open watch connection; `changed` wakes it, `is_cut` ends it."""
+    """One open watch connection; `changed` wakes it, and `is_closed` ends it when woken."""
 
     def __init__(self) -> None:
         self.changed = asyncio.Event()
-        self.is_cut = False
+        self.is_closed = False
 
 
 class PlatformServer:
-    """Serves a store; `start` returns the bound address (port 0 takes any free port).
+    """Serves a store; `start` returns the bound address (port 0: any free port).
 
-    `sleep` passes injected delays, `keepalive_seconds` is the interval of empty watch batches.
+    `sleep` waits for injected delays; idle watches get an empty batch every `keepalive_seconds`.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         return SocketAddress(host, port)
 
     async def stop(self) -> None:
-        """Cut all watches, drop writes that still wait, and close the socket."""
+        """End all watches, cancel pending writes and close the socket."""
         self.drop_watches()
         for write in tuple(self._writes):
             write.cancel()
@@ -90,13 +90,13 @@
             await runner.cleanup()
 
     def drop_watches(self) -> None:
-        """Cut the connection of every open watch, as a restart of the platform would."""
+        """Abort the connections of all open watches, as a restart of the platform would."""
         for stream in self._streams:
-            stream.is_cut = True
+            stream.is_closed = True
             stream.changed.set()
 
     def _application(self) -> web.Application:
-        application = web.Application(middlewares=[self._guard])
+        application = web.Application(middlewares=[self._handle_request])
         application.router.add_get(wire.OBJECTS_PATH, self._list)
         application.router.add_get(wire.OBJECTS_PATH + "/{key:.+}", self._read)
         application.router.add_put(wire.OBJECTS_PATH + "/{key:.+}", self._put)
@@ -108,25 +108,25 @@
         return application
 
     @web.middleware
-    async def _guard(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        given = request.headers.get("Authorization", "").encode(errors="replace")
-        if not hmac.compare_digest(given, self._authorization):
-            return _failure(HttpStatus.UNAUTHORIZED, "send the bearer token of the platform")
+    async def _handle_request(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+        authorization = request.headers.get("Authorization", "").encode(errors="replace")
+        if not hmac.compare_digest(authorization, self._authorization):
+            return _error_response(HttpStatus.UNAUTHORIZED, "send the bearer token of the platform")
         try:
             return await handler(request)
         except PlatformError as error:
-            return _refusal(error)
+            return _platform_error_response(error)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            return _failure(HttpStatus.BAD_REQUEST, f"{type(error).__name__}: {error}")
+            return _error_response(HttpStatus.BAD_REQUEST, f"{type(error).__name__}: {error}")
 
     async def _list(self, request: web.Request) -> web.StreamResponse:
-        await self._await_turn()
+        await self._apply_faults()
         listing = self._store.list_objects(request.query.get("prefix", ""))
         objects = [wire.object_to_json(stored) for stored in listing.objects]
         return web.json_response({"revision": listing.revision, "objects": objects})
 
     async def _read(self, request: web.Request) -> web.StreamResponse:
-        await self._await_turn()
+        await self._apply_faults()
         reading = self._store.read(request.match_info["key"])
         found = None if reading.found is None else wire.object_to_json(reading.found)
         return web.json_response({"revision": reading.revision, "object": found})
@@ -145,7 +145,7 @@
     ) -> web.StreamResponse:
         expected = request.headers.get("If-Match")
         if expected is None:
-            return _failure(HttpStatus.PRECONDITION_REQUIRED, 'send If-Match: "REVISION"')
+            return _error_response(HttpStatus.PRECONDITION_REQUIRED, 'send If-Match: "REVISION"')
         expected_revision = int(expected.strip('"'))
         key = request.match_info["key"]
         decision = self._store.faults.decide(is_write=True)
@@ -156,16 +156,16 @@
             await self._pause(decision.delay_seconds)
             return self._store.write(key, value, expected_revision).revision
 
-        # Shielded: a write goes on although the client has given up.
+        # Shielded: the write continues when the client disconnects.
         try:
-            revision = await asyncio.shield(self._keep(run()))
+            revision = await asyncio.shield(self._track_write(run()))
         finally:
             if decision.lose_answer:
                 _abort(request)
         return web.json_response({"revision": revision})
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        await self._await_turn()
+        await self._apply_faults()
         revision = int(request.query["revision"])
         watch = self._store.open_watch(revision, request.query.get("prefix", ""))
         stream = WatchStream()
@@ -184,13 +184,13 @@
         response = web.StreamResponse(headers={"Content-Type": "application/x-ndjson"})
         await response.prepare(request)
         try:
-            while not stream.is_cut:
+            while not stream.is_closed:
                 stream.changed.clear()
                 batch = self._store.take_changes(watch)
                 await response.write(_batch_line(batch))
                 await self._wait_for(stream.changed)
         except (StoreUnavailableError, WatchGoneError, ConnectionError):
-            pass  # The headers are sent: all that is left is to cut the connection.
+            pass  # The headers are sent already, so the connection is aborted.
         _abort(request)
         return response
 
@@ -202,7 +202,7 @@
             return
 
     async def _list_machines(self, request: web.Request) -> web.StreamResponse:
-        await self._await_turn()
+        await self._apply_faults()
         listing = self._store.machines.listing(_now())
         return web.json_response(
             {
@@ -213,7 +213,7 @@
 
     async def _report_machine(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        await self._await_turn()
+        await self._apply_faults()
         return web.json_response({"known": self._record_report(body)})
 
     def _record_report(self, body: wire.JsonObject) -> bool:
@@ -233,7 +233,7 @@
         self._store.inject(FaultPlan(**await request.json()))
         return web.json_response({"injected": True})
 
-    async def _await_turn(self) -> None:
+    async def _apply_faults(self) -> None:
         decision = self._store.faults.decide(is_write=False)
         if decision.unavailable:
             raise StoreUnavailableError("injected fault")
@@ -243,13 +243,13 @@
         if seconds > 0:
             await self._sleep(seconds)
 
-    def _keep(self, work: Awaitable[int]) -> asyncio.Future[int]:
+    def _track_write(self, work: Awaitable[int]) -> asyncio.Future[int]:
         task = asyncio.ensure_future(work)
         self._writes.add(task)
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._finish_write)
         return task
 
-    def _forget(self, task: asyncio.Future[int]) -> None:
+    def _finish_write(self, task: asyncio.Future[int]) -> None:
         self._writes.discard(task)
         if not task.cancelled():
             task.exception()
@@ -269,21 +269,21 @@
     return json.dumps({"revision": batch.revision, "changes": changes}).encode() + b"\n"
 
 
-def _failure(status: HttpStatus, detail: str) -> web.Response:
+def _error_response(status: HttpStatus, detail: str) -> web.Response:
     return web.json_response({"error": detail}, status=status)
 
 
-def _refusal(error: PlatformError) -> web.Response:
+def _platform_error_response(error: PlatformError) -> web.Response:
     if isinstance(error, StoreConflictError):
         current = None if error.current is None else wire.object_to_json(error.current)
         body = {"error": str(error), "key": error.key, "current": current}
         return web.json_response(body, status=HttpStatus.CONFLICT)
     if isinstance(error, TooManyReadersError):
-        response = _failure(HttpStatus.TOO_MANY_REQUESTS, str(error))
+        response = _error_response(HttpStatus.TOO_MANY_REQUESTS, str(error))
         response.headers["Retry-After"] = f"{error.retry_after:g}"
         return response
     if isinstance(error, WatchGoneError):
-        return _failure(HttpStatus.GONE, str(error))
+        return _error_response(HttpStatus.GONE, str(error))
     if isinstance(error, StoreUnavailableError):
-        return _failure(HttpStatus.SERVICE_UNAVAILABLE, str(error))
-    return _failure(HttpStatus.BAD_REQUEST, str(error))
+        return _error_response(HttpStatus.SERVICE_UNAVAILABLE, str(error))
+    return _error_response(HttpStatus.BAD_REQUEST, str(error))
--- a/src/beamloom/standins/platform_store.py
+++ b/src/beamloom/standins/platform_store.py
@@ -1,7 +1,7 @@
-"""Sans-I/O model of the platform's object store; the HTTP stand-in and the simulator share it.
+"""Sans-I/O model of the platform's object store, used by the HTTP stand-in and the simulator.
 
-Every change takes the next number of one store-wide order, its revision. Objects handed out are
-shared and must not be changed by the caller.
+Each change increments the revision of the store, and the changed object carries the new revision.
+Returned objects are shared; callers must not modify them.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class StoreWatch:
-    """One open watch: changes up to `revision` have been taken."""
+    """One open watch; changes up to `revision` have been delivered."""
 
     def __init__(self, revision: int, prefix: str) -> None:
         self.revision = revision
@@ -51,13 +51,13 @@
 
     def __init__(
         self,
-        random: Random,
+        rng: Random,
         *,
         history_limit: int = DEFAULT_HISTORY_LIMIT,
         watch_limit: int = DEFAULT_WATCH_LIMIT,
         machines: MachineDirectory | None = None,
     ) -> None:
-        self.faults = StoreFaults(random)
+        self.faults = StoreFaults(rng)
         self.machines = machines or MachineDirectory()
         self._watch_limit = watch_limit
         self._objects: dict[str, StoredObject] = {}
@@ -68,7 +68,7 @@
 
     @property
     def revision(self) -> int:
-        """The revision of the newest change; 0 before the first."""
+        """The revision of the latest change; 0 before the first."""
         return self._revision
 
     @property
@@ -77,15 +77,15 @@
         return len(self._watches)
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call `listener` after each change of an object and each change of faults."""
+        """Call `listener` after each change of an object or of the fault plan."""
         self._listeners.append(listener)
 
     def remove_listener(self, listener: Callable[[], None]) -> None:
-        """End what `add_listener` began."""
+        """Remove a listener added with `add_listener`."""
         self._listeners.remove(listener)
 
     def inject(self, plan: FaultPlan) -> None:
-        """Put a fault plan in force."""
+        """Replace the fault plan."""
         self.faults.inject(plan)
         self._notify()
 
@@ -95,13 +95,14 @@
         return ObjectListing(self._revision, tuple(self._objects[key] for key in keys))
 
     def read(self, key: str) -> ObjectReading:
-        """Return one object, or None in its place."""
+        """Return one object, None if it does not exist, and the store's revision."""
         return ObjectReading(self._revision, self._objects.get(key))
 
     def write(self, key: str, value: dict[str, Any] | None, expected_revision: int) -> StoredObject:
         """Write, create (`expected_revision` 0) or delete (`value` None) one object.
 
-        Raises StoreConflictError with the current object unless its revision is as expected.
+        Raises StoreConflictError with the current object if its revision differs, and when asked to
+        delete an object that does not exist.
         """
         current = self._objects.get(key)
         if (current.revision if current else 0) != expected_revision:
@@ -117,10 +118,10 @@
     def open_watch(self, revision: int, prefix: str = "") -> StoreWatch:
         """Open a watch for the changes after `revision`.
 
-        Raises StoreUnavailableError, WatchGoneError (list anew) or TooManyReadersError.
+        Raises StoreUnavailableError, WatchGoneError (list again) or TooManyReadersError.
         """
-        self._refuse_when_down()
-        self._require_history(revision)
+        self._raise_if_down()
+        self._check_history(revision)
         if len(self._watches) >= self._watch_limit:
             raise TooManyReadersError(WATCH_RETRY_AFTER_SECONDS)
         watch = StoreWatch(revision, prefix)
@@ -128,15 +129,15 @@
         return watch
 
     def take_changes(self, watch: StoreWatch) -> ChangeBatch:
-        """Return what the watch has not yet taken, perhaps nothing.
+        """Return the changes since the last call, possibly none.
 
-        Raises StoreUnavailableError while the store is down, and WatchGoneError when the watch fell
-        behind the kept history.
+        Raises StoreUnavailableError while the store is down, and WatchGoneError when the history
+        no longer reaches back to the watch's revision.
         """
-        self._refuse_when_down()
-        self._require_history(watch.revision)
-        newest_first = islice(reversed(self._history), self._revision - watch.revision)
-        pending = reversed(tuple(newest_first))
+        self._raise_if_down()
+        self._check_history(watch.revision)
+        newest_changes = islice(reversed(self._history), self._revision - watch.revision)
+        pending = reversed(tuple(newest_changes))
         changes = tuple(change for change in pending if change.key.startswith(watch.prefix))
         watch.revision = self._revision
         return ChangeBatch(self._revision, changes)
@@ -148,9 +149,9 @@
     def answer(
         self, command: ListStore | ReadObject | WriteObject, decision: FaultDecision
     ) -> Event:
-        """Run a core's command as `decision` says and return the event that answers it.
+        """Execute a command of the decision core under `decision`; returns the resulting event.
 
-        The caller drew the decision with `faults.decide` and let its delay pass before this call.
+        The caller gets the decision from `faults.decide` and waits for its delay before this call.
         """
         if decision.unavailable:
             return StoreFailed(command.request_id, str(StoreUnavailableError("injected fault")))
@@ -179,11 +180,11 @@
         self._history.append(stored)
         self._notify()
 
-    def _refuse_when_down(self) -> None:
+    def _raise_if_down(self) -> None:
         if self.faults.plan.down:
             raise StoreUnavailableError("injected fault")
 
-    def _require_history(self, revision: int) -> None:
+    def _check_history(self, revision: int) -> None:
         oldest = self._revision - len(self._history)
         if not oldest <= revision <= self._revision:
             raise WatchGoneError(revision)
--- a/tests/unit/test_platform_store.py
+++ b/tests/unit/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The store model refuses what a real store would, and agrees with a plain dict and list."""
+"""Conflicts, watches, faults and machine list of the store model, and a comparison with a dict."""
 
 import unittest
 from random import Random
@@ -41,7 +41,7 @@
     def setUp(self) -> None:
         self.store = PlatformStore(Random(1), history_limit=2, watch_limit=1)
 
-    def test_write_on_an_old_revision_is_refused_with_the_current_object(self) -> None:
+    def test_write_at_another_revision_conflicts_and_returns_the_current_object(self) -> None:
         self.store.write("tenant/a", {"n": 1}, 0)
         current = self.store.write("tenant/a", {"n": 2}, 1)
         for expected in (0, 1, 3):
@@ -49,12 +49,12 @@
                 self.store.write("tenant/a", {"n": 3}, expected)
             self.assertEqual(caught.exception.current, current)
 
-    def test_deleting_what_does_not_exist_is_refused(self) -> None:
+    def test_deleting_a_missing_object_conflicts(self) -> None:
         with self.assertRaises(StoreConflictError):
             self.store.write("tenant/a", None, 0)
         self.assertEqual(self.store.revision, 0)
 
-    def test_watch_from_a_forgotten_or_future_revision_is_gone(self) -> None:
+    def test_watch_from_a_compacted_or_future_revision_raises_watch_gone(self) -> None:
         for number in range(4):
             self.store.write("tenant/a", {}, number)
         for revision in (0, 1, 5):
@@ -62,49 +62,49 @@
                 self.store.open_watch(revision)
         self.assertEqual(self.store.watch_count, 0)
 
-    def test_watch_that_falls_behind_is_gone(self) -> None:
+    def test_watch_behind_the_history_raises_watch_gone(self) -> None:
         watch = self.store.open_watch(0)
         for number in range(3):
             self.store.write("tenant/a", {}, number)
         with self.assertRaises(WatchGoneError):
             self.store.take_changes(watch)
 
-    def test_reader_limit_frees_a_place_on_close(self) -> None:
+    def test_closing_a_watch_makes_room_for_another(self) -> None:
         watch = self.store.open_watch(0)
         with self.assertRaises(TooManyReadersError):
             self.store.open_watch(0)
         self.store.close_watch(watch)
         self.store.open_watch(0)
 
-    def test_down_store_cuts_watches(self) -> None:
+    def test_watches_and_requests_fail_while_the_store_is_down(self) -> None:
         watch = self.store.open_watch(0)
         self.store.inject(FaultPlan(down=True))
         with self.assertRaises(StoreUnavailableError):
             self.store.take_changes(watch)
         self.assertTrue(self.store.faults.decide(is_write=False).unavailable)
 
-    def test_lost_answers_come_by_count_and_only_to_writes(self) -> None:
+    def test_lost_answers_are_counted_and_affect_only_writes(self) -> None:
         self.store.inject(FaultPlan(lost_answers=1))
         self.assertFalse(self.store.faults.decide(is_write=False).lose_answer)
         drawn = [self.store.faults.decide(is_write=True).lose_answer for _ in range(3)]
         self.assertEqual(drawn, [True, False, False])
 
-    def test_commands_are_answered_with_the_events_of_the_core(self) -> None:
+    def test_commands_return_the_events_of_the_core(self) -> None:
         write = WriteObject(7, "tenant/a", {}, 0)
         lost = self.store.answer(write, FaultDecision(lose_answer=True))
         self.assertIsInstance(lost, StoreFailed)
         current = StoredObject("tenant/a", {}, 1, 1)
-        well = FaultDecision()
-        self.assertEqual(self.store.answer(write, well), StoreConflict(7, current))
-        self.assertEqual(self.store.answer(ListStore(8), well), StoreListed(8, 1, (current,)))
+        no_fault = FaultDecision()
+        self.assertEqual(self.store.answer(write, no_fault), StoreConflict(7, current))
+        self.assertEqual(self.store.answer(ListStore(8), no_fault), StoreListed(8, 1, (current,)))
         rewrite = WriteObject(9, "tenant/a", {"n": 1}, 1)
         refused = self.store.answer(rewrite, FaultDecision(unavailable=True))
         self.assertIsInstance(refused, StoreFailed)
-        self.assertEqual(self.store.answer(rewrite, well), StoreWritten(9, 2))
+        self.assertEqual(self.store.answer(rewrite, no_fault), StoreWritten(9, 2))
 
 
 class MachineDirectoryTest(unittest.TestCase):
-    def test_the_list_lags_in_both_directions_and_forgets_the_silent(self) -> None:
+    def test_list_lags_for_registration_and_leaving_and_drops_expired_machines(self) -> None:
         directory = MachineDirectory(MachineListSettings(lag_seconds=2, expiry_seconds=10))
         directory.register(machine("n1"), 0.0)
         self.assertEqual(directory.listing(1.0).live, ())
