--- a/src/beamloom/standins/token_store.py
+++ b/src/beamloom/standins/token_store.py
@@ -1,6 +1,6 @@
-"""The platform's store for trials, without I/O: objects by kind, one counter of revisions.
+"""Sans-I/O model of the platform's store: objects by kind, with one revision counter for all.
 
-Contents are opaque here; platform/store_encoding.py gives them their form.
+Contents are opaque here; platform/store_encoding.py encodes them.
 """
 
 from __future__ import annotations
@@ -11,36 +11,36 @@
 from typing import NamedTuple
 
 DEFAULT_PAGE_SIZE = 500
-DEFAULT_HISTORY = 10_000
+HISTORY_LIMIT = 10_000
 
 
 class ConflictError(Exception):
-    """The object is there already, or at another revision; read it again and decide anew."""
+    """An object of this name already exists; read it before the next attempt."""
 
 
 class NoSuchObjectError(Exception):
-    """There is no object of this name; create it first."""
+    """No object has this name; create it first."""
 
 
 class HistoryGoneError(Exception):
-    """The changes after this revision are forgotten; list the objects again."""
+    """The history does not cover the changes after this revision; list the objects again."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """One object; `revision` is that of its last change, `made` that of its creation."""
+    """One object; `revision` is that of its last change."""
 
     name: str
     revision: int
-    made: int
+    created_revision: int
     content: object
 
 
 @dataclass(frozen=True, slots=True)
 class StoredChange:
-    """One change in the history; `gone` where the object was removed.
+    """One change in the history; `gone` is true if the object was removed.
 
-    `before` is the object as it was, None where there was none.
+    `before` is the object before the change, None if it did not exist.
     """
 
     revision: int
@@ -50,18 +50,17 @@
 
 
 class StoreCopy(NamedTuple):
-    """A store as it was at a revision: objects by kind and name."""
+    """A snapshot of the store at a revision: objects by kind and name."""
 
     revision: int
     objects: Mapping[str, Mapping[str, StoredObject]]
 
 
 class TokenStore:
-    """All objects; each change raises `revision` by one.
+    """All objects; each change increments `revision`.
 
-    `era` rises by one each time the store comes back from a copy of itself, and then alone loses
-    what it has acknowledged. Stale reads are `stale_behind` revisions behind, as far as the history
-    reaches.
+    Each restore from a copy increments `era`; only a restore loses acknowledged changes. Stale
+    reads are `stale_behind` revisions old, within the limits of the history.
     """
 
     def __init__(self, page_size: int = DEFAULT_PAGE_SIZE) -> None:
@@ -71,25 +70,25 @@
         self._page_size = page_size
         self._objects: dict[str, dict[str, StoredObject]] = defaultdict(dict)
         self._history: dict[str, list[StoredChange]] = defaultdict(list)
-        self._floor = 0
+        self._history_start = 0
 
     def read(self, kind: str, name: str) -> StoredObject:
-        """Return one object; raises NoSuchObjectError."""
+        """Return one object; raises NoSuchObjectError if it does not exist."""
         stored = self._objects[kind].get(name)
         if stored is None:
             raise NoSuchObjectError(f"{kind}/{name}")
         return stored
 
     def page(self, kind: str, after: str) -> tuple[list[StoredObject], bool]:
-        """Return the objects whose names follow `after`, and whether there are more."""
+        """Return a page of the objects whose names sort after `after`, and whether more follow."""
         return self._page_of(self._objects[kind], after)
 
     def stale_page(self, kind: str, after: str) -> tuple[list[StoredObject], bool, int]:
-        """Return a page as it was some revisions ago, and that revision."""
-        revision = max(self._floor, self.revision - self.stale_behind)
-        return *self._page_of(self._as_of(kind, revision), after), revision
+        """Return a page as of `stale_behind` revisions ago, and the revision of the page."""
+        revision = max(self._history_start, self.revision - self.stale_behind)
+        return *self._page_of(self._objects_at(kind, revision), after), revision
 
-    def _as_of(self, kind: str, revision: int) -> dict[str, StoredObject]:
+    def _objects_at(self, kind: str, revision: int) -> dict[str, StoredObject]:
         objects = dict(self._objects[kind])
         for change in reversed(self._history[kind]):
             if change.revision <= revision:
@@ -103,36 +102,39 @@
         self, objects: dict[str, StoredObject], after: str
     ) -> tuple[list[StoredObject], bool]:
         names = sorted(name for name in objects if name > after)
-        wanted = names[: self._page_size]
-        return [objects[name] for name in wanted], len(names) > len(wanted)
+        page_names = names[: self._page_size]
+        return [objects[name] for name in page_names], len(names) > len(page_names)
 
     def changes_after(self, kind: str, revision: int) -> list[StoredChange]:
-        """Return the changes of a kind after a revision; raises HistoryGoneError.
+        """Return the changes of a kind after a revision.
 
-        A revision that the store does not have yet, or has no longer, is no place to go on from.
+        Raises HistoryGoneError for a revision that is older than the history or newer than the
+        store, as clients can hold one after a restore.
         """
-        if not self._floor <= revision <= self.revision:
-            raise HistoryGoneError(f"{revision} is not from {self._floor} to {self.revision}")
+        if not self._history_start <= revision <= self.revision:
+            raise HistoryGoneError(
+                f"{revision} is outside the history from {self._history_start} to {self.revision}"
+            )
         return [change for change in self._history[kind] if change.revision > revision]
 
     def create(self, kind: str, name: str, content: object) -> StoredObject:
-        """Make an object; raises ConflictError where there is one of this name."""
+        """Create an object; raises ConflictError if the name exists."""
         if name in self._objects[kind]:
-            raise ConflictError(f"{kind}/{name} is there")
+            raise ConflictError(f"{kind}/{name} already exists")
         return self.put(kind, name, content)
 
     def put(self, kind: str, name: str, content: object) -> StoredObject:
-        """Make or replace an object."""
+        """Create or replace an object."""
         self.revision += 1
         before = self._objects[kind].get(name)
-        made = self.revision if before is None else before.made
-        stored = StoredObject(name, self.revision, made, content)
+        created_revision = self.revision if before is None else before.created_revision
+        stored = StoredObject(name, self.revision, created_revision, content)
         self._objects[kind][name] = stored
-        self._note(kind, StoredChange(self.revision, False, stored, before))
+        self._record(kind, StoredChange(self.revision, False, stored, before))
         return stored
 
     def put_if_other(self, kind: str, name: str, content: object) -> bool:
-        """Write an object again; return whether that changed anything."""
+        """Create or replace an object unless its content is equal; returns whether it wrote."""
         known = self._objects[kind].get(name)
         if known is not None and known.content == content:
             return False
@@ -140,21 +142,21 @@
         return True
 
     def remove_if_there(self, kind: str, name: str) -> bool:
-        """Remove an object; return whether there was one."""
+        """Remove an object if it exists; returns whether it did."""
         if name not in self._objects[kind]:
             return False
         self.remove(kind, name)
         return True
 
     def copy(self) -> StoreCopy:
-        """Return the store as it is now."""
+        """Return a snapshot of the store."""
         objects = {kind: dict(objects) for kind, objects in self._objects.items()}
         return StoreCopy(self.revision, objects)
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what was changed since is lost, and its revisions are given anew.
+        """Restore a copy; later changes are lost and their revisions are assigned again.
 
-        The changes before the copy can still be watched.
+        Watches can still start at revisions before the copy that the history covers.
         """
         self.era += 1
         self.revision = copy.revision
@@ -163,22 +165,22 @@
             self._objects[kind].update(objects)
         for history in self._history.values():
             history[:] = [change for change in history if change.revision <= copy.revision]
-        self._floor = min(self._floor, copy.revision)
+        self._history_start = min(self._history_start, copy.revision)
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object; raises NoSuchObjectError."""
+        """Remove an object; raises NoSuchObjectError if it does not exist."""
         stored = self.read(kind, name)
         self.revision += 1
         del self._objects[kind][name]
-        self._note(kind, StoredChange(self.revision, True, stored, stored))
+        self._record(kind, StoredChange(self.revision, True, stored, stored))
 
     def forget_history(self) -> None:
-        """Compact: watches from before now will be told that their history is gone."""
-        self._floor = self.revision
+        """Compact the history; watches from earlier revisions raise HistoryGoneError."""
+        self._history_start = self.revision
         self._history.clear()
 
-    def _note(self, kind: str, change: StoredChange) -> None:
+    def _record(self, kind: str, change: StoredChange) -> None:
         history = self._history[kind]
         history.append(change)
-        if len(history) > DEFAULT_HISTORY:
-            self._floor = max(self._floor, history.pop(0).revision)
+        if len(history) > HISTORY_LIMIT:
+            self._history_start = max(self._history_start, history.pop(0).revision)
--- a/src/beamloom/standins/token_store_server.py
+++ b/src/beamloom/standins/token_store_server.py
@@ -1,4 +1,4 @@
-"""Serves a TokenStore over HTTP as the platform does, with faults that can be switched on."""
+"""Serves a `TokenStore` over HTTP as the platform does, with injected faults."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     TokenStore,
 )
 
-LONGEST_SILENCE_SECONDS = 60.0
+SILENT_ANSWER_DELAY_SECONDS = 60.0
 STATUS_TOO_MANY = 429
 STATUS_UNAVAILABLE = 503
 
 
 @dataclass(slots=True)
 class TokenStoreFaults:
-    """What the server does to calls.
+    """Faults of the server.
 
-    `unavailable` answers 503; `silent` takes calls and never answers; `throttled` answers 429;
-    `silent_hosts` and `throttled_hosts` get the same while others are served; `refused_hosts` get
-    503 then; `delay_seconds` comes before each answer; `lost_writes` does the next writes and drops
-    the connection; `failing_kinds` get 503 where other kinds are served.
+    `unavailable`, `refused_hosts` and `failing_kinds` answer 503, `throttled` and `throttled_hosts`
+    429, `silent` and `silent_hosts` delay calls by `SILENT_ANSWER_DELAY_SECONDS`. Every call is
+    delayed by `delay_seconds`. The next `lost_writes` creations take effect, and their connections
+    are aborted without an answer.
     """
 
     unavailable: bool = False
@@ -47,7 +47,7 @@
 
 
 class TokenStoreServer:
-    """One server; `calls` counts by method and status, `tells_era` is whether answers do."""
+    """One server; `calls` counts calls by method and status, `tells_era` adds the era header."""
 
     def __init__(self, store: TokenStore) -> None:
         self.store = store
@@ -59,7 +59,7 @@
         self.port = 0
 
     async def start(self, host: str, port: int = 0) -> None:
-        """Listen (port 0 takes any free one); raises OSError."""
+        """Listen (port 0: any free port); raises OSError when the address is taken."""
         application = web.Application()
         application.router.add_route("*", f"{OBJECTS_PATH}{{rest:.*}}", self._handle)
         self._runner = web.AppRunner(application, access_log=None, shutdown_timeout=0.2)
@@ -74,7 +74,7 @@
             self._runner = None
 
     def note_change(self) -> None:
-        """Wake the watches: the store was changed."""
+        """Wake all watches after a change of the store."""
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -85,10 +85,10 @@
         return response
 
     async def _respond(self, request: web.Request) -> web.StreamResponse:
-        refusal = await self._refusal(request)
-        if refusal is not None:
-            self.calls[f"{request.method} {refusal}"] += 1
-            return web.Response(status=refusal)
+        injected_status = await self._injected_status(request)
+        if injected_status is not None:
+            self.calls[f"{request.method} {injected_status}"] += 1
+            return web.Response(status=injected_status)
         call = store_encoding.parse_call(request.path_qs)
         if call is None:
             return web.Response(status=404)
@@ -102,26 +102,26 @@
             status, body = 409, {"error": "the object is there"}
         except HistoryGoneError:
             status, body = 410, {"error": "history is gone"}
-        refusal = await self._host_refusal(request)
-        if refusal is not None:
-            status, body = refusal, {"error": "this host is refused"}
+        injected_status = await self._injected_host_status(request)
+        if injected_status is not None:
+            status, body = injected_status, {"error": "this host is refused"}
         self.calls[f"{request.method} {status}"] += 1
         return web.json_response(body, status=status)
 
-    async def _refusal(self, request: web.Request) -> int | None:
+    async def _injected_status(self, request: web.Request) -> int | None:
         faults = self.faults
         if faults.silent:
-            await asyncio.sleep(LONGEST_SILENCE_SECONDS)
+            await asyncio.sleep(SILENT_ANSWER_DELAY_SECONDS)
         if faults.delay_seconds:
             await asyncio.sleep(faults.delay_seconds)
         if faults.throttled:
             return STATUS_TOO_MANY
-        return await self._host_refusal(request)
+        return await self._injected_host_status(request)
 
-    async def _host_refusal(self, request: web.Request) -> int | None:
+    async def _injected_host_status(self, request: web.Request) -> int | None:
         faults = self.faults
         if request.remote in faults.silent_hosts:
-            await asyncio.sleep(LONGEST_SILENCE_SECONDS)
+            await asyncio.sleep(SILENT_ANSWER_DELAY_SECONDS)
         if faults.unavailable or request.remote in faults.refused_hosts:
             return STATUS_UNAVAILABLE
         return STATUS_TOO_MANY if request.remote in faults.throttled_hosts else None
@@ -156,11 +156,11 @@
         end = loop.time() + call.wait_seconds
         while True:
             changes = self.store.changes_after(call.kind, revision)
-            left = end - loop.time()
-            if changes or left <= 0:
+            remaining = end - loop.time()
+            if changes or remaining <= 0:
                 encoded = [(change.gone, self._encode(change.stored)) for change in changes]
                 return store_encoding.encode_changes(encoded, self.store.revision)
-            await self._wait_for_change(left)
+            await self._wait_for_change(remaining)
 
     async def _wait_for_change(self, seconds: float) -> None:
         try:
@@ -171,5 +171,5 @@
 
     def _encode(self, stored: StoredObject) -> dict[str, Any]:
         return store_encoding.encode_object(
-            stored.name, stored.revision, stored.made, stored.content
+            stored.name, stored.revision, stored.created_revision, stored.content
         )
--- a/tests/functional/test_standins.py
+++ b/tests/functional/test_standins.py
@@ -1,4 +1,4 @@
-"""Fabric, backends and clients over real sockets, with a plain forwarder where balancers stand."""
+"""Fabric, backends and clients on real sockets, with stateless forwarders in place of balancers."""
 
 import asyncio
 import random
@@ -24,11 +24,11 @@
 TRACKER = VirtualAddress("10.0.0.1", TransportProtocol.TCP, 443)
 LABELLER = VirtualAddress("fd00::1", TransportProtocol.TCP, 443)
 RESOLVER = VirtualAddress("10.0.0.3", TransportProtocol.UDP, 53)
-GUARD_SECONDS = 60.0
+TEST_TIMEOUT_SECONDS = 60.0
 
 
 class Forwarder:
-    """Sends each service's packets to a backend chosen by the client's port, answers back."""
+    """Forwards requests to a backend chosen by the client's port, and answers to the fabric."""
 
     def __init__(self) -> None:
         self.backends: dict[SocketAddress, list[SocketAddress]] = {}
@@ -43,7 +43,7 @@
 
 
 class Fleet:
-    """Everything that a test needs, on free ports."""
+    """A fabric, two forwarders and backends, on free ports."""
 
     def __init__(self, fabric_options: FabricOptions | None = None) -> None:
         self.fabric = FabricProcess(FabricModel(random.Random(1), fabric_options))
@@ -90,7 +90,7 @@
         fleet = Fleet(fabric_options)
         await fleet.start(services)
         try:
-            await asyncio.wait_for(test(fleet), GUARD_SECONDS)
+            await asyncio.wait_for(test(fleet), TEST_TIMEOUT_SECONDS)
         finally:
             await fleet.stop()
 
@@ -98,16 +98,16 @@
 
 
 class StandinsOnSocketsTest(unittest.TestCase):
-    def test_requests_through_a_fabric_that_loses_doubles_and_reorders(self) -> None:
+    def test_requests_complete_through_a_fabric_with_loss_duplication_and_reordering(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             client = ClientProcess(fleet.fabric.client_address)
             await client.open()
-            chance = random.Random(3)
+            rng = random.Random(3)
             first, second = SocketAddress("192.0.2.1", 9), SocketAddress("2001:db8::1", 9)
             flows = [
-                RequestFlow(RequestOptions("a", first, TRACKER, "a", size=30_000), chance),
-                RequestFlow(RequestOptions("b", second, LABELLER, "b", size=30_000), chance),
-                UdpRequestFlow(RequestOptions("c", first, RESOLVER, "c", size=3_000), chance),
+                RequestFlow(RequestOptions("a", first, TRACKER, "a", size=30_000), rng),
+                RequestFlow(RequestOptions("b", second, LABELLER, "b", size=30_000), rng),
+                UdpRequestFlow(RequestOptions("c", first, RESOLVER, "c", size=3_000), rng),
             ]
             truths = await asyncio.gather(*(client.run(flow) for flow in flows))
             client.close()
@@ -121,7 +121,7 @@
         faults = FabricOptions(loss=0.05, duplication=0.05, reordering=0.2)
         with_fleet({TRACKER: 2, LABELLER: 1, RESOLVER: 1}, scenario, faults)
 
-    def test_load_counts_what_became_of_its_flows(self) -> None:
+    def test_load_counts_flows_by_outcome(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             result = await run_load(
                 ProfileName.VAKATALE,
@@ -141,7 +141,7 @@
 
         with_fleet({TRACKER: 7, LABELLER: 3}, scenario)
 
-    def test_health_endpoint_reports_drain_and_lies(self) -> None:
+    def test_health_endpoint_reports_draining_and_injected_load(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             base = f"http://{fleet.backends[0].health_address}"
             async with aiohttp.ClientSession() as session:
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path on real sockets: platform, balancers, backends, fabric and clients."""
+"""End-to-end requests on real sockets: platform, balancers, backends, fabric and clients."""
 
 import asyncio
 import unittest
@@ -9,7 +9,7 @@
 
 
 class WholePathTest(unittest.TestCase):
-    def test_every_flow_is_answered_and_none_breaks(self) -> None:
+    def test_every_flow_is_answered_without_breaking(self) -> None:
         options = DemoOptions(tenants=2, balancers=2, duration=1.0, rate=40)
         report = asyncio.run(run_demo(options))
         for item in report.loads:
@@ -20,7 +20,7 @@
         self.assertTrue(report.drained_backend)
         self.assertTrue(report.control_traffic)
 
-    def test_tenants_beyond_the_two_users_get_addresses_of_their_own(self) -> None:
+    def test_additional_tenants_get_their_own_addresses(self) -> None:
         _, tenants = demo_deployment(5)
         addresses = [address for tenant in tenants for address in tenant.services.values()]
         self.assertEqual(len(set(addresses)), len(addresses))
