--- a/src/beamloom/standins/backend_model.py
+++ b/src/beamloom/standins/backend_model.py
@@ -47,14 +47,17 @@
 
 
 def default_service_time(request: Request, rng: random.Random) -> float:
-    """Return exponential service times, in seconds: 5 ms for a document, 0.5 ms for an update."""
+    """Return an exponential service time in seconds; its mean depends on the kind of request."""
     mean = 0.005 if request.kind is RequestKind.DOCUMENT else 0.0005
     return rng.expovariate(1.0 / mean)
 
 
 @dataclass(frozen=True, slots=True)
 class BackendOptions:
-    """Limits and times (seconds); for `cold_seconds` requests take `cold_factor` times as long."""
+    """Limits, and times in seconds.
+
+    For `cold_seconds` after the start, requests take `cold_factor` times as long.
+    """
 
     slots: int = 2
     queue_limit: int = 64
--- a/src/beamloom/standins/platform_faults.py
+++ b/src/beamloom/standins/platform_faults.py
@@ -10,9 +10,9 @@
 class FaultPlan:
     """The faults to inject.
 
-    `down` refuses every request and ends watches; `delay_seconds` is the delay before a request is
-    executed; the next `lost_answers` writes, and later ones with `lost_answer_probability` (0 to
-    1), take effect but are not answered.
+    `down` refuses store and machine requests and ends watches; `delay_seconds` is the delay before
+    a request is executed; the next `lost_answers` writes, and later ones with
+    `lost_answer_probability` (0 to 1), take effect but are not answered.
     """
 
     down: bool = False
--- a/src/beamloom/standins/token_store.py
+++ b/src/beamloom/standins/token_store.py
@@ -76,7 +76,7 @@
         """Return one object; raises NoSuchObjectError if it does not exist."""
         stored = self._objects[kind].get(name)
         if stored is None:
-            raise NoSuchObjectError(f"{kind}/{name}")
+            raise NoSuchObjectError(f"{kind}/{name} does not exist")
         return stored
 
     def page(self, kind: str, after: str) -> tuple[list[StoredObject], bool]:
