--- a/src/beamloom/standins/token_store_server.py
+++ b/src/beamloom/standins/token_store_server.py
@@ -47,7 +47,10 @@
 
 
 class TokenStoreServer:
-    """One server; `calls` counts calls by method and status, `tells_era` adds the era header."""
+    """One server; `tells_era` adds the era header to answers.
+
+    `calls` counts calls by method and status, except those with an invalid path or a failing kind.
+    """
 
     def __init__(self, store: TokenStore) -> None:
         self.store = store
