--- a/src/beamloom/cli/bench.py
+++ b/src/beamloom/cli/bench.py
@@ -168,7 +168,7 @@
         write_json(asdict(report))
     else:
         write_rows(COLUMNS, _rows(report), output_format)
-    return ExitStatus.GOOD
+    return ExitStatus.SUCCESS
 
 
 def _rows(report: ScaleReport) -> list[Row]:
--- a/src/beamloom/cli/check.py
+++ b/src/beamloom/cli/check.py
@@ -59,7 +59,7 @@
         write_json({"file": str(file), "faults": rows})
     else:
         _write_lines(file, result)
-    return ExitStatus.GOOD if result.good else ExitStatus.FAILED
+    return ExitStatus.SUCCESS if result.good else ExitStatus.FAILED
 
 
 def check_file(file: Path) -> CheckResult:
--- a/src/beamloom/cli/commands.py
+++ b/src/beamloom/cli/commands.py
@@ -1,4 +1,4 @@
-"""The one place where groups of commands are added to the command line."""
+"""Registration of all commands."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def register_commands(app: App) -> None:
-    """Add every group of commands."""
+    """Add every command, and the one that installs shell completion."""
     for register in COMMAND_GROUPS:
         register(app)
     app.register_install_completion_command()
--- a/src/beamloom/cli/decode.py
+++ b/src/beamloom/cli/decode.py
@@ -40,7 +40,7 @@
     for line in describe_all(texts, forwarded=forwarded):
         good = good and not line.startswith("not a packet")
         write_line(line)
-    return ExitStatus.GOOD if good else ExitStatus.FAILED
+    return ExitStatus.SUCCESS if good else ExitStatus.FAILED
 
 
 def describe_all(texts: Iterable[str], *, forwarded: bool) -> Iterator[str]:
--- a/src/beamloom/cli/demo.py
+++ b/src/beamloom/cli/demo.py
@@ -71,7 +71,7 @@
     with _progress_bar(output_format) as progress:
         report = asyncio.run(run_demo(options, progress))
     _write(report, output_format)
-    return ExitStatus.GOOD if report.succeeded else ExitStatus.FAILED
+    return ExitStatus.SUCCESS if report.succeeded else ExitStatus.FAILED
 
 
 @contextmanager
--- a/src/beamloom/cli/exit_status.py
+++ b/src/beamloom/cli/exit_status.py
@@ -6,9 +6,9 @@
 
 
 class ExitStatus(IntEnum):
-    """What a command's exit status says; interrupted is 128 plus the number of SIGINT."""
+    """Exit statuses of commands; INTERRUPTED is 128 plus the number of SIGINT."""
 
-    GOOD = 0
+    SUCCESS = 0
     FAILED = 1
     USAGE = 2
     INTERRUPTED = 130
--- a/src/beamloom/cli/experiment.py
+++ b/src/beamloom/cli/experiment.py
@@ -53,7 +53,7 @@
         command = f"beamloom experiment {file.as_posix()} --output DIR"
         write_report(output, definition, joined, command)
         write_line(f"{len(joined)} results, see {output / PAGE_NAME}")
-    return ExitStatus.GOOD
+    return ExitStatus.SUCCESS
 
 
 def _with_progress(results: Iterator[CellResult], cells: Sequence[Cell]) -> Iterator[CellResult]:
--- a/src/beamloom/cli/fuzz.py
+++ b/src/beamloom/cli/fuzz.py
@@ -61,7 +61,7 @@
     write_line(f"{machine}: {result.runs} runs in {result.rounds} rounds from seed {seed}")
     if result.failure is None:
         write_line("nothing found")
-        return ExitStatus.GOOD
+        return ExitStatus.SUCCESS
     write_failure(result.failure)
     return ExitStatus.FAILED
 
@@ -70,7 +70,7 @@
     failure = replay(token)
     if failure is None:
         write_line("the steps pass")
-        return ExitStatus.GOOD
+        return ExitStatus.SUCCESS
     write_failure(failure)
     return ExitStatus.FAILED
 
--- a/src/beamloom/cli/load.py
+++ b/src/beamloom/cli/load.py
@@ -51,7 +51,7 @@
     else:
         write_rows(COLUMNS, _load_rows(result), output_format)
     answered = result.outcomes[Outcome.ANSWERED.value]
-    return ExitStatus.FAILED if result.broken_flows or not answered else ExitStatus.GOOD
+    return ExitStatus.FAILED if result.broken_flows or not answered else ExitStatus.SUCCESS
 
 
 def example_services(profile: ProfileName) -> dict[str, VirtualAddress]:
--- a/src/beamloom/cli/main.py
+++ b/src/beamloom/cli/main.py
@@ -69,4 +69,4 @@
             raise
         write_error(group)
         return ExitStatus.FAILED
-    return result if isinstance(result, int) else ExitStatus.GOOD
+    return result if isinstance(result, int) else ExitStatus.SUCCESS
--- a/src/beamloom/cli/nodes.py
+++ b/src/beamloom/cli/nodes.py
@@ -63,7 +63,7 @@
         states = list(pool.map(fetch, addresses))
     rows = [describe(state, newest_version(states)) for state in states]
     write_rows(COLUMNS, rows, output_format)
-    return ExitStatus.FAILED if any(row["trouble"] for row in rows) else ExitStatus.GOOD
+    return ExitStatus.FAILED if any(row["trouble"] for row in rows) else ExitStatus.SUCCESS
 
 
 def fetch(address: str) -> NodeState:
--- a/src/beamloom/cli/simulate.py
+++ b/src/beamloom/cli/simulate.py
@@ -79,4 +79,4 @@
         sys.stdout.write(to_json(result) + "\n")
     else:
         Console().print(to_table(result))
-    return ExitStatus.GOOD if result.passed else ExitStatus.FAILED
+    return ExitStatus.SUCCESS if result.passed else ExitStatus.FAILED
--- a/src/beamloom/cli/simulate_tokens.py
+++ b/src/beamloom/cli/simulate_tokens.py
@@ -72,7 +72,7 @@
         console.print(f"seed {number} struck: {', '.join(result.faults)}")
         for violation in result.violations[:SHOWN_VIOLATIONS]:
             console.print(f"  {violation.at:.2f} {violation.rule}: {violation.detail}")
-    return ExitStatus.FAILED if failed else ExitStatus.GOOD
+    return ExitStatus.FAILED if failed else ExitStatus.SUCCESS
 
 
 def _add_row(table: Table, seed: int, result: TokenRunResult) -> None:
--- a/src/beamloom/cli/soak.py
+++ b/src/beamloom/cli/soak.py
@@ -60,7 +60,7 @@
     options = SoakOptions(seed, duration, nodes, place, frozenset(only))
     result = asyncio.run(run_soak(options))
     _write(seed, place, result)
-    return ExitStatus.FAILED if result.violations else ExitStatus.GOOD
+    return ExitStatus.FAILED if result.violations else ExitStatus.SUCCESS
 
 
 def _write(seed: int, folder: Path, result: SoakResult) -> None:
--- a/src/beamloom/cli/status.py
+++ b/src/beamloom/cli/status.py
@@ -41,7 +41,7 @@
         answer["in_force"] = in_force
         good = good and bool(in_force["everywhere"])
     _write(answer, output_format)
-    return ExitStatus.GOOD if good else ExitStatus.FAILED
+    return ExitStatus.SUCCESS if good else ExitStatus.FAILED
 
 
 @explain_app.command
--- a/src/beamloom/cli/trace.py
+++ b/src/beamloom/cli/trace.py
@@ -87,7 +87,7 @@
         return ExitStatus.FAILED
     for line in story:
         write_line(line.describe(story[0].time))
-    return ExitStatus.GOOD
+    return ExitStatus.SUCCESS
 
 
 def select(lines: list[LogLine], flow: str) -> Iterator[LogLine]:
