--- a/src/beamloom/cli/admin_access.py
+++ b/src/beamloom/cli/admin_access.py
@@ -1,4 +1,4 @@
-"""How commands reach a node's admin API."""
+"""Flags and client with which commands access a node's admin API."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cyclopts import Parameter
 
 from beamloom.cli.errors import (
-    AdminNotNamedError,
+    AdminOptionMissingError,
     AdminRefusedError,
     AdminUnreachableError,
 )
@@ -31,7 +31,7 @@
 @Parameter(name="*")
 @dataclass(frozen=True, slots=True)
 class AdminAccess:
-    """Flags that every command on a node's admin API takes."""
+    """Flags of every command that uses a node's admin API."""
 
     admin: Annotated[str | None, Parameter(name="--admin", env_var=ADMIN_VARIABLE)] = None
     """Admin address of any node: IP:PORT, or https://IP:PORT."""
@@ -40,19 +40,19 @@
     ] = None
     """File that holds the token of the admin API."""
     authority_file: Annotated[Path | None, Parameter(name="--admin-authority-file")] = None
-    """Certificate of the authority that signed the node's, for https."""
+    """Certificate of the authority that signed the node's certificate, for https."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdminClient:
-    """Asks one node."""
+    """Client of one node's admin API."""
 
     url: str
     token: str
     tls: ssl.SSLContext | None
 
     async def get(self, path: str, parameters: Mapping[str, str] | None = None) -> Answer:
-        """Return an answer; raises AdminUnreachableError or AdminRefusedError."""
+        """Return the JSON object at a path; raises AdminUnreachableError or AdminRefusedError."""
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_SECONDS)
         headers = {"Authorization": f"Bearer {self.token}"}
         try:
@@ -62,25 +62,28 @@
                     self.url + path, params=parameters, ssl=self.tls or True, allow_redirects=False
                 ) as response,
             ):
-                return _checked(response.status, await response.text())
+                return _parse_answer(response.status, await response.text())
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             raise AdminUnreachableError(self.url, str(error) or repr(error)) from error
 
 
 def make_admin_client(access: AdminAccess | None) -> AdminClient:
-    """Return a client; raises AdminNotNamedError, UnreadableTokenError, TlsConfigurationError."""
+    """Return a client.
+
+    Raises AdminOptionMissingError, UnreadableTokenError and TlsConfigurationError.
+    """
     chosen = access or AdminAccess()
     if chosen.admin is None:
-        raise AdminNotNamedError("--admin", ADMIN_VARIABLE)
+        raise AdminOptionMissingError("--admin", ADMIN_VARIABLE)
     if chosen.token_file is None:
-        raise AdminNotNamedError("--token-file", TOKEN_VARIABLE)
+        raise AdminOptionMissingError("--token-file", TOKEN_VARIABLE)
     url = chosen.admin if "://" in chosen.admin else f"http://{chosen.admin}"
     authority = chosen.authority_file
     tls = None if authority is None else client_tls_context(TlsFiles(authority=authority))
     return AdminClient(url.rstrip("/"), read_token(chosen.token_file), tls)
 
 
-def _checked(status: int, text: str) -> Answer:
+def _parse_answer(status: int, text: str) -> Answer:
     try:
         body = json.loads(text)
     except ValueError:
--- a/src/beamloom/cli/errors.py
+++ b/src/beamloom/cli/errors.py
@@ -1,52 +1,52 @@
-"""Errors of the command line itself; each message names the remedy."""
+"""Errors of the command line; each message says what to do."""
 
 from __future__ import annotations
 
 
 class CommandError(Exception):
-    """A command that could not do what was asked."""
+    """Base class of errors that make a command fail."""
 
 
 class UsageError(CommandError):
-    """The command line itself was wrong; `detail` is what the parser found."""
+    """The command line is invalid; `detail` says why."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(f"{detail.rstrip()} See beamloom COMMAND --help")
 
 
-class PlatformNotNamedError(CommandError):
-    """Neither a flag nor the environment says where the platform is."""
+class PlatformOptionMissingError(CommandError):
+    """The platform's address or token file is given neither by a flag nor by the environment."""
 
     def __init__(self, flag: str, variable: str) -> None:
-        super().__init__(f"the platform is not named: give {flag} or set {variable}")
+        super().__init__(f"access to the platform needs {flag}: give the flag or set {variable}")
 
 
 class UnreadableTokenError(CommandError):
-    """The token file cannot be read or is empty."""
+    """The token file cannot be read, is not UTF-8 or is empty."""
 
     def __init__(self, path: str, detail: str) -> None:
         super().__init__(f"no token in {path} ({detail}): give the path of a token file")
 
 
 class FileKindError(CommandError):
-    """A file is neither a node's settings nor a deployment."""
+    """A file is of none of the kinds that `beamloom check` knows."""
 
     def __init__(self) -> None:
         super().__init__(
-            "neither a node's settings nor a deployment: "
-            "give a [node] table, or [[tenants]], see the files in beamloom/examples"
+            "not a node's settings, a deployment or a deploy file: give a table [node], "
+            "[bind-addrs] (token node), [[tenants]] or [roles]; see the files in beamloom/examples"
         )
 
 
-class AdminNotNamedError(CommandError):
-    """Neither a flag nor the environment says which node's admin API to ask."""
+class AdminOptionMissingError(CommandError):
+    """The admin address or token file is given neither by a flag nor by the environment."""
 
     def __init__(self, flag: str, variable: str) -> None:
-        super().__init__(f"no node is named: give {flag} or set {variable}")
+        super().__init__(f"access to the admin API needs {flag}: give the flag or set {variable}")
 
 
 class AdminUnreachableError(CommandError):
-    """The admin API did not answer."""
+    """The admin API did not answer, or its answer could not be read."""
 
     def __init__(self, url: str, detail: str) -> None:
         super().__init__(
@@ -57,7 +57,7 @@
 
 
 class AdminRefusedError(CommandError):
-    """The admin API answered with an error, whose text names the remedy."""
+    """The admin API answered with an error status or with something other than a JSON object."""
 
     def __init__(self, status: int, detail: str) -> None:
         self.status = status
@@ -65,7 +65,7 @@
 
 
 class NotInForceError(CommandError):
-    """A change was accepted and is not yet in force on every node."""
+    """A change was accepted but was not in force on every node within the timeout."""
 
     def __init__(self, revision: int, seconds: float, missing: list[str]) -> None:
         names = ", ".join(missing[:5]) + (" and more" if len(missing) > 5 else "")
@@ -77,11 +77,11 @@
 
 
 class ObjectInUseError(CommandError):
-    """An object cannot be deleted while others depend on it."""
+    """An object has children, or is a backend that is not draining, and was not deleted."""
 
     def __init__(self, key: str, reason: str, remedy: str) -> None:
         super().__init__(f"{key} was not deleted: {reason}; {remedy}")
 
 
 class MeasurementFailedError(CommandError):
-    """A bench whose figures cannot be trusted; the message tells what to change."""
+    """The figures of a benchmark are not reliable."""
--- a/src/beamloom/cli/flags.py
+++ b/src/beamloom/cli/flags.py
@@ -1,4 +1,4 @@
-"""Values of flags that are addresses, checked while the command line is read (exit status 2)."""
+"""Address flags, validated while the command line is parsed (exit status 2 if invalid)."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 
 from beamloom.model.addresses import SocketAddress, TransportProtocol, VirtualAddress
 
-LARGEST_PORT = 65_535
-SEPARATOR = "://"
+MAXIMUM_PORT = 65_535
+SCHEME_SEPARATOR = "://"
 
 
 def parse_virtual_address(text: str) -> VirtualAddress:
-    """Read `tcp://IP:PORT` or `udp://IP:PORT`; raises ValueError."""
-    name, separator, rest = text.partition(SEPARATOR)
+    """Parse `tcp://IP:PORT` or `udp://IP:PORT`; raises ValueError."""
+    name, separator, rest = text.partition(SCHEME_SEPARATOR)
     if not separator or name.upper() not in TransportProtocol.__members__:
-        raise ValueError(f"{text!r} is no service address: give tcp://IP:PORT or udp://IP:PORT")
+        raise ValueError(f"{text!r} is not a service address: give tcp://IP:PORT or udp://IP:PORT")
     address = parse_address(rest)
     if not address.port:
-        raise ValueError(f"{text!r} has no port: give one from 1 to {LARGEST_PORT}")
+        raise ValueError(f"{text!r} has no port: give one from 1 to {MAXIMUM_PORT}")
     return VirtualAddress(address.host, TransportProtocol[name.upper()], address.port)
 
 
 def parse_address(text: str) -> SocketAddress:
-    """Read `IP:PORT`; raises ValueError."""
+    """Parse `IP:PORT`; raises ValueError."""
     try:
         address = SocketAddress.parse(text)
     except ValueError:
-        raise ValueError(f"{text!r} is no address: give IP:PORT, for example 127.0.0.1:0") from None
-    if address.port > LARGEST_PORT:
-        raise ValueError(f"{text!r}: give a port of at most {LARGEST_PORT}")
+        raise ValueError(
+            f"{text!r} is not an address: give IP:PORT, for example 127.0.0.1:0"
+        ) from None
+    if address.port > MAXIMUM_PORT:
+        raise ValueError(f"{text!r}: give a port of at most {MAXIMUM_PORT}")
     return address
 
 
--- a/src/beamloom/cli/object_operations.py
+++ b/src/beamloom/cli/object_operations.py
@@ -1,4 +1,4 @@
-"""What the commands on tenants, services and backends do with the store."""
+"""Store operations behind the commands on tenants, services and backends."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from beamloom.cli.errors import ObjectInUseError
 from beamloom.cli.output import OutputFormat, write_json, write_line, write_rows
 from beamloom.cli.platform_access import PlatformAccess, PlatformSession, open_platform
-from beamloom.cli.waiting import Waiter, tell_in_force
+from beamloom.cli.waiting import Waiter, report_in_force
 from beamloom.model.contracts import BackendAdministrativeState
 from beamloom.object_api.errors import ObjectNotFoundError
 from beamloom.object_api.operator import AcceptedWrite
@@ -41,22 +41,25 @@
     access: PlatformAccess | None,
     waiter: Waiter | None,
 ) -> None:
-    """Create an object that will be in force; raises SettingsError, PlatformError."""
+    """Create an object after checking that it can take effect.
+
+    Raises SettingsError and PlatformError.
+    """
     key = object_key(kind, name)
     async with open_platform(access) as session:
-        await _require_usable(session, key, value)
+        await _require_valid(session, key, value)
         accepted = await session.writer.create_object(key, value)
-    await tell_accepted(f"{key} created", accepted, waiter)
+    await report_accepted(f"{key} created", accepted, waiter)
 
 
-async def _require_usable(session: PlatformSession, key: str, value: Value) -> None:
-    """Raise the error that would keep an object out of force, as the store stands."""
+async def _require_valid(session: PlatformSession, key: str, value: Value) -> None:
+    """Raise the error that would prevent an object from taking effect in the current store."""
     parent = _parent_key(key)
     listing = await session.client.list_objects()
     if parent is not None and all(stored.key != parent for stored in listing.objects):
         raise MissingParentError(f"there is no {parent}", "check the name or create it first")
     if any(stored.key == key for stored in listing.objects):
-        return  # The writer tells what stands there.
+        return  # The writer reports the existing object.
     revision = listing.revision + 1
     candidate = StoredObject(key, value, revision, revision)
     for problem in Configuration.load([*listing.objects, candidate]).problems:
@@ -79,13 +82,13 @@
     waiter: Waiter | None,
     force: bool = False,
 ) -> None:
-    """Delete an object; raises ObjectInUseError unless `force`, and PlatformError."""
+    """Delete an object; raises PlatformError and, without `force`, ObjectInUseError."""
     key = object_key(kind, name)
     async with open_platform(access) as session:
         if not force:
             await _require_unused(session, kind, key, name)
         accepted = await session.writer.delete_object(key)
-    await tell_accepted(f"{key} deleted", accepted, waiter)
+    await report_accepted(f"{key} deleted", accepted, waiter)
 
 
 async def _require_unused(session: PlatformSession, kind: ObjectKind, key: str, name: str) -> None:
@@ -93,7 +96,10 @@
         found = (await session.client.read(key)).found
         state = (found.value or {}).get("state") if found is not None else None
         if found is not None and state != BackendAdministrativeState.DRAINING:
-            remedy = f"run `beamloom backend drain {name}` and let them end, or give --force"
+            remedy = (
+                f"run `beamloom backend drain {name}` and wait until its flows have ended, "
+                "or give --force"
+            )
             raise ObjectInUseError(key, "it is not draining and may have flows", remedy)
         return
     child = CHILDREN[kind]
@@ -106,7 +112,7 @@
 async def list_objects(
     kind: ObjectKind, parent: str, access: PlatformAccess | None, output_format: OutputFormat
 ) -> None:
-    """Write the objects of a kind under a parent's name, or all of them."""
+    """Print the objects of a kind below a parent, or all of them if the parent is empty."""
     prefix = f"{kind}/{parent}/" if parent else f"{kind}/"
     async with open_platform(access) as session:
         listing = await session.client.list_objects(prefix)
@@ -115,7 +121,7 @@
 
 
 async def show_object(kind: ObjectKind, name: str, access: PlatformAccess | None) -> None:
-    """Write one object as JSON; raises ObjectNotFoundError."""
+    """Print one object as JSON; raises ObjectNotFoundError."""
     key = object_key(kind, name)
     async with open_platform(access) as session:
         found = (await session.client.read(key)).found
@@ -130,7 +136,7 @@
     return row | {"name": stored.key.split("/", 1)[1], "revision": stored.revision}
 
 
-async def tell_accepted(done: str, accepted: AcceptedWrite, waiter: Waiter | None) -> None:
-    """Say that a write was accepted, and that it is in force once it is, when asked to wait."""
-    write_line(f"{done}, accepted at revision {accepted.revision}")
-    await tell_in_force(accepted, waiter)
+async def report_accepted(change: str, accepted: AcceptedWrite, waiter: Waiter | None) -> None:
+    """Print that a write was accepted and, with a waiter, wait until it is in force."""
+    write_line(f"{change}, accepted at revision {accepted.revision}")
+    await report_in_force(accepted, waiter)
--- a/src/beamloom/cli/objects.py
+++ b/src/beamloom/cli/objects.py
@@ -1,4 +1,4 @@
-"""`beamloom tenant|service|backend`: the objects in the platform's store that operators own."""
+"""`beamloom tenant|service|backend`: operators' objects in the platform's store."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     delete_object,
     list_objects,
     object_key,
+    report_accepted,
     show_object,
-    tell_accepted,
 )
 from beamloom.cli.output import FormatFlag, OutputFormat
 from beamloom.cli.platform_access import PlatformAccess, open_platform
@@ -27,8 +27,8 @@
 BackendName = Annotated[str, Parameter(help="TENANT/SERVICE/BACKEND.")]
 
 tenant_app = App(name="tenant", help="Tenants of the fleet.")
-service_app = App(name="service", help="Services that tenants expose.")
-backend_app = App(name="backend", help="Backends behind services.")
+service_app = App(name="service", help="Services of tenants.")
+backend_app = App(name="backend", help="Backends of services.")
 
 
 def register(app: App) -> None:
@@ -60,7 +60,7 @@
     admin: AdminAccess | None = None,
     wait: WaitFlags | None = None,
 ) -> None:
-    """Create a service under a virtual IP, protocol and port that no other service has."""
+    """Create a service; no other service may have its virtual IP, protocol and port."""
     virtual = parse_virtual_address(address)
     value = {"ip": virtual.ip, "protocol": virtual.protocol.name.lower(), "port": virtual.port}
     await create_object(ObjectKind.SERVICE, name, value, access, make_waiter(admin, wait))
@@ -71,7 +71,7 @@
     name: BackendName,
     /,
     *,
-    address: Annotated[AddressText, Parameter(help="Where packets go: IP:PORT (UDP).")],
+    address: Annotated[AddressText, Parameter(help="Address for packets: IP:PORT (UDP).")],
     health: Annotated[AddressText, Parameter(help="The health endpoint: IP:PORT (HTTP).")],
     zone: Annotated[str, Parameter(help="The backend's zone.")],
     weight: Annotated[
@@ -81,7 +81,7 @@
     admin: AdminAccess | None = None,
     wait: WaitFlags | None = None,
 ) -> None:
-    """Create a backend, which then gets new flows."""
+    """Create a backend in the active state, so that it gets new flows."""
     value = {"address": address, "health": health, "zone": zone, "weight": weight}
     value["state"] = BackendAdministrativeState.ACTIVE.value
     await create_object(ObjectKind.BACKEND, name, value, access, make_waiter(admin, wait))
@@ -92,12 +92,12 @@
     name: BackendName,
     /,
     *,
-    undo: Annotated[bool, Parameter(negative="", help="Let it get new flows again.")] = False,
+    undo: Annotated[bool, Parameter(negative="", help="Make it active again.")] = False,
     access: PlatformAccess | None = None,
     admin: AdminAccess | None = None,
     wait: WaitFlags | None = None,
 ) -> None:
-    """Give a backend no new flows; those it has go on until they end."""
+    """Drain a backend: it gets no new flows, and its open flows continue until they end."""
     state = BackendAdministrativeState.ACTIVE if undo else BackendAdministrativeState.DRAINING
     key = object_key(ObjectKind.BACKEND, name)
     waiter = make_waiter(admin, wait)
@@ -105,7 +105,7 @@
         accepted = await session.writer.update_object(
             key, lambda value: {**value, "state": state.value}
         )
-    await tell_accepted(f"{key} is {state.value}", accepted, waiter)
+    await report_accepted(f"{key} is {state.value}", accepted, waiter)
 
 
 @tenant_app.command(name="list")
@@ -187,10 +187,13 @@
     name: BackendName,
     /,
     *,
-    force: Annotated[bool, Parameter(negative="", help="Also cut the flows it has.")] = False,
+    force: Annotated[
+        bool,
+        Parameter(negative="", help="Delete it also if it is not draining; its flows are cut."),
+    ] = False,
     access: PlatformAccess | None = None,
     admin: AdminAccess | None = None,
     wait: WaitFlags | None = None,
 ) -> None:
-    """Delete a backend; unless it is draining, only with --force."""
+    """Delete a backend; --force is needed unless it is draining."""
     await delete_object(ObjectKind.BACKEND, name, access, make_waiter(admin, wait), force)
--- a/src/beamloom/cli/platform_access.py
+++ b/src/beamloom/cli/platform_access.py
@@ -1,4 +1,4 @@
-"""How commands reach the platform's store: flags, environment, client and writer."""
+"""Flags, environment variables and session with which commands access the platform's store."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from cyclopts import Parameter
 
-from beamloom.cli.errors import PlatformNotNamedError
+from beamloom.cli.errors import PlatformOptionMissingError
 from beamloom.cli.token_files import read_token
 from beamloom.object_api.client import PlatformClient
 from beamloom.object_api.operator import OperatorWriter
@@ -25,7 +25,7 @@
 @Parameter(name="*")
 @dataclass(frozen=True, slots=True)
 class PlatformAccess:
-    """Flags that every command on the platform's store takes."""
+    """Flags of every command that uses the platform's store."""
 
     platform: Annotated[str | None, Parameter(name="--platform", env_var=URL_VARIABLE)] = None
     """Address of the platform's object API, such as http://127.0.0.1:7900."""
@@ -34,12 +34,12 @@
     ] = None
     """File that holds the token for the platform."""
     authority_file: Annotated[Path | None, Parameter(name="--platform-authority-file")] = None
-    """Certificate of the authority that signed the platform's, for https."""
+    """Certificate of the authority that signed the platform's certificate, for https."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformSession:
-    """An open client and the writer that operators' commands use."""
+    """An open client of the platform, and a writer that uses it."""
 
     client: PlatformClient
     writer: OperatorWriter
@@ -47,7 +47,7 @@
 
 @asynccontextmanager
 async def open_platform(access: PlatformAccess | None) -> AsyncIterator[PlatformSession]:
-    """Open a session; raises PlatformNotNamedError, UnreadableTokenError or PlatformError."""
+    """Open a session; raises PlatformOptionMissingError, UnreadableTokenError or PlatformError."""
     options = _read_options(access or PlatformAccess())
     retrier = Retrier(options.retry, SystemRandom())
     async with PlatformClient(options, retrier) as client:
@@ -56,8 +56,8 @@
 
 def _read_options(access: PlatformAccess) -> PlatformOptions:
     if access.platform is None:
-        raise PlatformNotNamedError("--platform", URL_VARIABLE)
+        raise PlatformOptionMissingError("--platform", URL_VARIABLE)
     if access.token_file is None:
-        raise PlatformNotNamedError("--platform-token-file", TOKEN_VARIABLE)
+        raise PlatformOptionMissingError("--platform-token-file", TOKEN_VARIABLE)
     tls = None if access.authority_file is None else TlsFiles(authority=access.authority_file)
     return PlatformOptions(access.platform, read_token(access.token_file), tls=tls)
--- a/src/beamloom/cli/settings_commands.py
+++ b/src/beamloom/cli/settings_commands.py
@@ -1,4 +1,4 @@
-"""`beamloom settings`: look at the tree of settings in the platform's store, and change it."""
+"""`beamloom settings`: show and change the tree of settings in the platform's store."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from beamloom.cli.admin_access import AdminAccess
 from beamloom.cli.output import FormatFlag, OutputFormat, write_line, write_rows
 from beamloom.cli.platform_access import PlatformAccess, PlatformSession, open_platform
-from beamloom.cli.waiting import WaitFlags, make_waiter, tell_in_force
+from beamloom.cli.waiting import WaitFlags, make_waiter, report_in_force
 from beamloom.object_api.errors import WatchGoneError
 from beamloom.object_api.operator import AcceptedWrite
 from beamloom.object_api.wire import ChangeBatch
@@ -22,16 +22,18 @@
 from beamloom.settings.tree import Scope, TreeNode, settings_at
 from beamloom.settings.validation import find_declaration
 
-At = Annotated[str, Parameter(name="--at", help="global, tenant/T or tenant/T/service/S.")]
-Name = Annotated[str, Parameter(help="The setting, see `beamloom settings get`.")]
-Value = Annotated[str, Parameter(help="The value in the setting's unit.")]
+ScopeOption = Annotated[str, Parameter(name="--at", help="global, tenant/T or tenant/T/service/S.")]
+SettingName = Annotated[
+    str, Parameter(help="Name of the setting; `beamloom settings get` lists them.")
+]
+SettingText = Annotated[str, Parameter(help="The value in the setting's unit.")]
 Values = dict[str, Any]
 
 TREE_COLUMNS = ("scope", "setting", "value", "unit")
 GET_COLUMNS = ("setting", "value", "unit", "level", "scope_key", "since_revision")
 HISTORY_COLUMNS = ("revision", "operation", "values")
 
-settings_app = App(name="settings", help="Look at the tree of settings and change it.")
+settings_app = App(name="settings", help="Show and change the tree of settings.")
 
 
 def register(app: App) -> None:
@@ -43,7 +45,7 @@
 async def tree(
     *, access: PlatformAccess | None = None, output_format: FormatFlag = OutputFormat.TABLE
 ) -> None:
-    """Show what every scope sets, from the root down; what none sets has its default."""
+    """Show the values set at each scope, from the root down; other settings have their defaults."""
     async with open_platform(access) as session:
         configuration = await _read_configuration(session)
     rows: list[Values] = []
@@ -53,16 +55,18 @@
 
 @settings_app.command
 async def get(
-    name: Name | None = None,
+    name: SettingName | None = None,
     /,
     *,
-    at: At = "global",
+    at: ScopeOption = "global",
     access: PlatformAccess | None = None,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> None:
-    """Show the settings in force at a scope and where each value comes from; NAME picks one."""
+    """Show the settings in force at a scope and where each value comes from; NAME selects one."""
     scope = Scope.parse(at)
-    names = [made.name for made in settings_at(scope.level)] if name is None else [name]
+    names = (
+        [declaration.name for declaration in settings_at(scope.level)] if name is None else [name]
+    )
     declarations = [find_declaration(wanted) for wanted in names]
     async with open_platform(access) as session:
         configuration = await _read_configuration(session)
@@ -79,16 +83,16 @@
 
 @settings_app.command(name="set")
 async def set_value(
-    name: Name,
-    value: Value,
+    name: SettingName,
+    value: SettingText,
     /,
     *,
-    at: At = "global",
+    at: ScopeOption = "global",
     access: PlatformAccess | None = None,
     admin: AdminAccess | None = None,
     wait: WaitFlags | None = None,
 ) -> None:
-    """Set a value at a scope; it applies to everything beneath that does not set its own."""
+    """Set a value at a scope; scopes below it inherit the value unless they set their own."""
     scope = Scope.parse(at)
     declaration = find_declaration(name)
     declaration.require_level(scope.level)
@@ -96,24 +100,24 @@
     waiter = make_waiter(admin, wait)
     async with open_platform(access) as session:
         await _require_owner(session, scope)
-        accepted = await _edit(session, scope, lambda values: {**values, name: checked})
+        accepted = await _write_values(session, scope, lambda values: {**values, name: checked})
     write_line(f"{name} = {checked} at {scope} accepted at revision {accepted.revision}")
-    await tell_in_force(accepted, waiter)
+    await report_in_force(accepted, waiter)
 
 
 @settings_app.command
 async def unset(
-    name: Name,
+    name: SettingName,
     /,
     *,
-    at: At = "global",
+    at: ScopeOption = "global",
     access: PlatformAccess | None = None,
     admin: AdminAccess | None = None,
     wait: WaitFlags | None = None,
 ) -> None:
     """Remove a value from a scope, so that it is inherited again.
 
-    A name that this version does not know can be removed too.
+    It also removes a stored value whose name this version does not know.
     """
     scope = Scope.parse(at)
     waiter = make_waiter(admin, wait)
@@ -123,15 +127,15 @@
             find_declaration(name)
             write_line(f"{name} was not set at {scope}; nothing was changed")
             return
-        accepted = await _edit(session, scope, lambda values: _without(values, name))
+        accepted = await _write_values(session, scope, lambda values: _without(values, name))
     write_line(f"{name} at {scope} removed at revision {accepted.revision}")
-    await tell_in_force(accepted, waiter)
+    await report_in_force(accepted, waiter)
 
 
 @settings_app.command
 async def history(
     *,
-    at: At = "global",
+    at: ScopeOption = "global",
     access: PlatformAccess | None = None,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> None:
@@ -154,10 +158,10 @@
         raise MissingParentError(f"there is no {key}", "check the name or create it first")
 
 
-async def _edit(
+async def _write_values(
     session: PlatformSession, scope: Scope, change: Callable[[Values], Values]
 ) -> AcceptedWrite:
-    """Write a scope's values as `change` makes them of those there now."""
+    """Replace a scope's values by what `change` returns for the current ones."""
     key = scope.object_key
     if (await session.client.read(key)).found is None:
         return await session.writer.create_object(key, {"values": change({})})
@@ -167,7 +171,7 @@
 
 
 async def _read_history(session: PlatformSession, key: str) -> list[StoredObject]:
-    """Return the changes of a key that the store keeps, or its present state alone."""
+    """Return the changes of a key, or only its current state if older changes are not kept."""
     reading = await session.client.read(key)
     if reading.found is None:
         return []
--- a/src/beamloom/cli/status.py
+++ b/src/beamloom/cli/status.py
@@ -1,4 +1,4 @@
-"""`beamloom status` and `beamloom explain`: what a node is and has, and why."""
+"""`beamloom status` and `beamloom explain`: a node's state, and the reasons for it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 Answer = dict[str, Any]
 COLUMNS = ("name", "value")
 
-explain_app = App(name="explain", help="Say why: where a flow, backend or setting stands.")
+explain_app = App(name="explain", help="Explain the state of a flow, backend or setting.")
 
 
 def register(app: App) -> None:
@@ -25,23 +25,23 @@
 
 async def status(
     *,
-    revision: Annotated[int | None, Parameter(help="Tell where this revision is in force.")] = None,
+    revision: Annotated[int | None, Parameter(help="Also show where it is in force.")] = None,
     access: AdminAccess | None = None,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> ExitStatus:
     """Show a node: its state, members, configuration, control traffic and problems.
 
-    Exit status: 1 when the node is not ready, or the --revision not in force everywhere.
+    Exit status: 1 when the node is not ready, or --revision is not in force everywhere.
     """
     client = make_admin_client(access)
     answer = await client.get("/v1/status")
-    good = bool(answer["ready"])
+    succeeded = bool(answer["ready"])
     if revision is not None:
         in_force = await client.get("/v1/in-force", {"revision": str(revision)})
         answer["in_force"] = in_force
-        good = good and bool(in_force["everywhere"])
+        succeeded = succeeded and bool(in_force["everywhere"])
     _write(answer, output_format)
-    return ExitStatus.SUCCESS if good else ExitStatus.FAILED
+    return ExitStatus.SUCCESS if succeeded else ExitStatus.FAILED
 
 
 @explain_app.command
@@ -54,7 +54,7 @@
     access: AdminAccess | None = None,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> None:
-    """Say which backend a flow has as the asked node knows it, why, and which node decides it."""
+    """Show which backend a flow has, as this node knows, why, and which node decides it."""
     parameters = {"client": client, "service": service, "protocol": protocol}
     answer = await make_admin_client(access).get("/v1/explain/flow", parameters)
     _write(answer, output_format)
@@ -68,7 +68,7 @@
     access: AdminAccess | None = None,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> None:
-    """Say whether a backend gets new flows, and why."""
+    """Show whether a backend gets new flows, and why."""
     answer = await make_admin_client(access).get("/v1/explain/backend", {"name": name})
     _write(answer, output_format)
 
@@ -82,7 +82,7 @@
     access: AdminAccess | None = None,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> None:
-    """Say a setting's value at a scope, where it comes from, and where it is not yet in force."""
+    """Show a setting's value at a scope, its origin, and the nodes where it is not in force."""
     client = make_admin_client(access)
     answer = await client.get("/v1/explain/setting", {"name": name, "at": at})
     if answer["since_revision"]:
@@ -100,7 +100,7 @@
 
 
 def _flatten(answer: Answer, prefix: str = "") -> list[tuple[str, object]]:
-    """Return dotted names and their values; a list of tables gets a number per entry."""
+    """Return dotted names and their values; entries of a list of objects are numbered from 1."""
     rows: list[tuple[str, object]] = []
     for name, value in answer.items():
         if isinstance(value, dict):
--- a/src/beamloom/cli/token_files.py
+++ b/src/beamloom/cli/token_files.py
@@ -1,4 +1,4 @@
-"""Token files that commands are given."""
+"""Reading of token files."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def read_token(path: Path) -> str:
-    """Return the token in a file; raises UnreadableTokenError."""
+    """Return the token in a file without surrounding blanks; raises UnreadableTokenError."""
     try:
         token = path.read_text(encoding="utf-8").strip()
     except OSError as error:
--- a/src/beamloom/cli/waiting.py
+++ b/src/beamloom/cli/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting until an accepted write is in force on every node, as the nodes themselves say."""
+"""Waiting until an accepted write is in force on every node, as a node's admin API reports."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from beamloom.object_api.operator import AcceptedWrite
 
 DEFAULT_WAIT_SECONDS = 30.0
-PAUSE_SECONDS = 0.1
+POLL_INTERVAL_SECONDS = 0.1
 
 Waiter = tuple[AdminClient, float]
-"""Whom to ask whether a write is in force, and for how many seconds."""
+"""The client to poll until a write is in force, and the timeout in seconds."""
 
 
 @Parameter(name="*")
@@ -26,19 +26,22 @@
     """Flags of a write that can wait until it is in force."""
 
     wait: Annotated[bool, Parameter(name="--wait", negative="")] = False
-    """Wait until the change is in force on every node, as --admin tells."""
+    """Wait until the change is in force on every node, as the node at --admin reports."""
     timeout: Annotated[float, Parameter(name="--wait-seconds")] = DEFAULT_WAIT_SECONDS
-    """How long to wait."""
+    """Timeout of --wait."""
 
 
 def make_waiter(admin: AdminAccess | None, wait: WaitFlags | None) -> Waiter | None:
-    """Return the waiter, or None without --wait; made before the write: a bad flag stops it."""
+    """Return the waiter, or None without --wait.
+
+    Call it before the write, so that an invalid flag prevents the write.
+    """
     flags = wait or WaitFlags()
     return (make_admin_client(admin), flags.timeout) if flags.wait else None
 
 
-async def tell_in_force(accepted: AcceptedWrite, waiter: Waiter | None) -> None:
-    """Say that a write is in force once every member said so; raises NotInForceError."""
+async def report_in_force(accepted: AcceptedWrite, waiter: Waiter | None) -> None:
+    """Wait until a write is in force on every member and print it; raises NotInForceError."""
     if waiter is None:
         return
     client, seconds = waiter
@@ -47,7 +50,7 @@
 
 
 async def wait_in_force(client: AdminClient, revision: int, seconds: float) -> Answer:
-    """Return once a revision is in force on every member; raises NotInForceError."""
+    """Poll until a revision is in force on every member; raises NotInForceError."""
     missing: list[str] = []
     try:
         async with asyncio.timeout(seconds):
@@ -56,6 +59,6 @@
                 if answer["everywhere"]:
                     return answer
                 missing = answer["not_in_force"]
-                await asyncio.sleep(PAUSE_SECONDS)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
     except TimeoutError:
         raise NotInForceError(revision, seconds, missing) from None
--- a/tests/functional/test_settings_commands.py
+++ b/tests/functional/test_settings_commands.py
@@ -43,7 +43,7 @@
         rows: list[dict[str, object]] = json.loads(output)
         return rows
 
-    async def test_wrong_token_and_platform_down_change_nothing(self) -> None:
+    async def test_wrong_token_or_unavailable_platform_changes_nothing(self) -> None:
         before = self.store.revision
         self.token_file.write_text("wrong")
         status, _, errors = await self.run_command("set", "request.repeat", "never")
@@ -56,7 +56,7 @@
         self.assertIn("nothing was changed", errors)
         self.assertEqual(self.store.revision, before)
 
-    async def test_missing_owner_is_refused(self) -> None:
+    async def test_missing_tenant_or_service_is_rejected(self) -> None:
         for at in ("tenant/u", "tenant/t/service/x"):
             status, _, errors = await self.run_command("set", "request.repeat", "never", "--at", at)
             self.assertEqual(status, 1)
@@ -82,7 +82,7 @@
         (shown,) = await self.rows("tree")
         self.assertEqual((shown["scope"], shown["value"]), ("tenant/t", 100.0))
 
-    async def test_history_tells_what_the_store_keeps(self) -> None:
+    async def test_history_shows_the_changes_that_the_store_keeps(self) -> None:
         for value in ("10", "20"):
             await self.run_command("set", "flow.idle_timeout", value)
         kept = [row["values"] for row in await self.rows("history")]
