--- a/src/beamloom/cli/check.py
+++ b/src/beamloom/cli/check.py
@@ -1,4 +1,4 @@
-"""`beamloom check`: all faults of a settings or deployment file at once."""
+"""`beamloom check`: report all faults of a settings, deployment or deploy file."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckResult:
-    """What a file is, and its faults in the order of their lines.
+    """Description of a file, and its faults.
 
-    `platform_faults` are those of the users' platform's files, which know no lines.
+    `platform_faults` are faults of token node settings and deploy files, without line numbers.
     """
 
     summary: str
@@ -32,7 +32,7 @@
     platform_faults: tuple[str, ...] = ()
 
     @property
-    def good(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether no fault was found."""
         return not self.faults and not self.platform_faults
 
@@ -48,9 +48,9 @@
     *,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> ExitStatus:
-    """Check a node's settings file, a deployment file or a deploy file; tell all faults at once.
+    """Check a node's settings file, a deployment file or a deploy file and report all faults.
 
-    Exit status: 0 the file is good, 1 it has faults.
+    Exit status: 0 the file is valid, 1 it has faults.
     """
     result = check_file(file)
     if output_format is OutputFormat.JSON:
@@ -59,11 +59,11 @@
         write_json({"file": str(file), "faults": rows})
     else:
         _write_lines(file, result)
-    return ExitStatus.SUCCESS if result.good else ExitStatus.FAILED
+    return ExitStatus.SUCCESS if result.is_valid else ExitStatus.FAILED
 
 
 def check_file(file: Path) -> CheckResult:
-    """Return what a file is and its faults; raises FileKindError where it is neither kind."""
+    """Return a file's description and faults; raises FileKindError if its kind is unknown."""
     try:
         return _check_loaded(file)
     except SettingsFileError as fault:
@@ -76,14 +76,14 @@
 def _check_loaded(file: Path) -> CheckResult:
     source = load_toml(file)
     if MARK_OF_SETTINGS in source.data:
-        return _check_platform_settings(file, source)
+        return _check_token_node_settings(file, source)
     if MARK_OF_DEPLOY_FILE in source.data:
         faults = tuple(deploy_faults(source.data))
         return CheckResult(f"a deploy file of {len(source.data['roles'])} roles", (), faults)
     return CheckResult(_check_source(source), ())
 
 
-def _check_platform_settings(file: Path, source: TomlSource) -> CheckResult:
+def _check_token_node_settings(file: Path, source: TomlSource) -> CheckResult:
     try:
         settings = check_settings(source.data, str(file))
     except PlatformSettingsError as error:
@@ -112,7 +112,7 @@
         write_line(f"{file}: {fault}")
     for text in result.platform_faults:
         write_line(f"{file}: {text}")
-    if result.good:
+    if result.is_valid:
         write_line(f"{file}: good, {result.summary}")
 
 
--- a/src/beamloom/cli/decode.py
+++ b/src/beamloom/cli/decode.py
@@ -1,4 +1,4 @@
-"""`beamloom decode`: datagrams of the token path as a person reads them."""
+"""`beamloom decode`: datagrams of the token path in readable form."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
     *datagrams: Annotated[str, Parameter(help="Datagrams in hexadecimal; none: standard input.")],
     forwarded: bool = False,
 ) -> ExitStatus:
-    """Print datagrams as a person reads them, one a line.
+    """Print datagrams in readable form, one per line.
 
-    Exit status: 0 all were read, 1 at least one is no packet.
+    Exit status: 0 all were decoded, 1 at least one is not a packet.
 
     Parameters
     ----------
     datagrams
-        In hexadecimal, blanks and colons allowed; without any, lines of standard input.
+        In hexadecimal, blanks and colons allowed; if none is given, lines of standard input.
     forwarded
-        Datagrams to backends: the identity that is meant comes first.
+        The datagrams were sent to backends: the backend's identity precedes the packet.
 
     """
     texts: Iterable[str] = datagrams or (line for line in sys.stdin if line.strip())
-    good = True
+    all_decoded = True
     for line in describe_all(texts, forwarded=forwarded):
-        good = good and not line.startswith("not a packet")
+        all_decoded = all_decoded and not line.startswith("not a packet")
         write_line(line)
-    return ExitStatus.SUCCESS if good else ExitStatus.FAILED
+    return ExitStatus.SUCCESS if all_decoded else ExitStatus.FAILED
 
 
 def describe_all(texts: Iterable[str], *, forwarded: bool) -> Iterator[str]:
-    """Yield a line for each datagram; raises UsageError where one is not hexadecimal."""
+    """Yield a line for each datagram; raises UsageError if one is not hexadecimal."""
     for text in texts:
         try:
             data = bytes.fromhex(text.replace(":", " "))
@@ -59,8 +59,8 @@
 
 
 def _describe_forwarded(data: bytes) -> str:
-    found = decode_forwarded(data)
-    if found is None:
+    decoded = decode_forwarded(data)
+    if decoded is None:
         return f"not a packet: {len(data)} bytes"
-    identity, packet = found
+    identity, packet = decoded
     return f"to {identity:016x}: {packet.describe()}"
--- a/src/beamloom/cli/nodes.py
+++ b/src/beamloom/cli/nodes.py
@@ -1,4 +1,4 @@
-"""`beamloom nodes`: how the token nodes of a fleet stand, read from their metrics addresses."""
+"""`beamloom nodes`: the state of a fleet's token nodes, read from their metrics endpoints."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from beamloom.telemetry.counters import NAME_PREFIX
 
 METRICS_PATH = "/metrics"
-CALL_SECONDS = 2.0
-PARALLEL_CALLS = 16
+REQUEST_TIMEOUT_SECONDS = 2.0
+PARALLEL_REQUESTS = 16
 COLUMNS = (
     "node",
     "state",
@@ -33,13 +33,16 @@
     "trouble",
 )
 STALE_SECONDS = 4.0
-"""A view that was not confirmed for so long is older than any bound on hearing allows."""
+"""Age from which a view of the backends counts as not confirmed."""
 
 Samples = Mapping[str, float]
 
 
 class NodeState(NamedTuple):
-    """One node's figures by name (labels behind a colon); `failure` says why there are none."""
+    """Samples of one node by metric name and, after a colon, labels.
+
+    `failure` is the reason if they could not be read.
+    """
 
     address: str
     samples: Samples
@@ -55,11 +58,11 @@
     *addresses: Annotated[str, Parameter(help="Metrics addresses, HOST:PORT, one for each node.")],
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> ExitStatus:
-    """Show how token nodes stand, and which of them differ from the others.
+    """Show the state of token nodes and what is wrong with them.
 
-    Exit status: 0 all are ready and agree, 1 at least one has trouble.
+    Exit status: 0 no node has trouble, 1 at least one has.
     """
-    with ThreadPoolExecutor(PARALLEL_CALLS) as pool:
+    with ThreadPoolExecutor(PARALLEL_REQUESTS) as pool:
         states = list(pool.map(fetch, addresses))
     rows = [describe(state, newest_version(states)) for state in states]
     write_rows(COLUMNS, rows, output_format)
@@ -67,10 +70,10 @@
 
 
 def fetch(address: str) -> NodeState:
-    """Read the figures of the node at a metrics address."""
+    """Read the samples of the node at a metrics address."""
     try:
         with urllib.request.urlopen(
-            f"http://{address}{METRICS_PATH}", timeout=CALL_SECONDS
+            f"http://{address}{METRICS_PATH}", timeout=REQUEST_TIMEOUT_SECONDS
         ) as answer:
             return NodeState(address, read_samples(answer.read().decode()))
     except (OSError, ValueError) as error:
@@ -78,7 +81,7 @@
 
 
 def read_samples(text: str) -> Samples:
-    """Return the samples of a metrics page; raises ValueError where it is none."""
+    """Return the samples of a metrics page; raises ValueError if it cannot be parsed."""
     samples: dict[str, float] = {}
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
@@ -89,7 +92,7 @@
 
 
 def newest_version(states: Iterable[NodeState]) -> float:
-    """Return the newest version of the configuration that any node has in force."""
+    """Return the newest configuration version in force on any node, or -1.0 if unknown."""
     return max((state.samples.get("configuration_version", -1.0) for state in states), default=-1.0)
 
 
@@ -101,21 +104,21 @@
     return {
         "node": state.address,
         "state": "unreachable" if state.failure else "ready" if ready else "not ready",
-        "version": _whole(samples.get("configuration_version")),
-        "backends": _whole(samples.get("backends")),
-        "down": _whole(samples.get("backends_down")),
-        "evacuated zones": _whole(samples.get("evacuated_zones")),
+        "version": _to_int(samples.get("configuration_version")),
+        "backends": _to_int(samples.get("backends")),
+        "down": _to_int(samples.get("backends_down")),
+        "evacuated zones": _to_int(samples.get("evacuated_zones")),
         "view age s": None if age is None else round(age, 1),
         "reads": "yes" if samples.get("reads_store") == 1.0 else "",
-        "peers": _whole(samples.get("peers")),
-        "flows": _whole(samples.get("open_flows")),
+        "peers": _to_int(samples.get("peers")),
+        "flows": _to_int(samples.get("open_flows")),
         "refused": _sum_of(samples, "packets_total:refused_"),
         "dropped": _sum_of(samples, "packets_total:dropped_"),
-        "trouble": ", ".join(_troubles(state, ready, newest)),
+        "trouble": ", ".join(_find_troubles(state, ready, newest)),
     }
 
 
-def _troubles(state: NodeState, ready: bool, newest: float) -> list[str]:
+def _find_troubles(state: NodeState, ready: bool, newest: float) -> list[str]:
     if state.failure:
         return [state.failure]
     samples = state.samples
@@ -126,11 +129,11 @@
     if age is None or age > STALE_SECONDS:
         found.append("its view of the backends is not confirmed")
     if samples.get("peers") == 0.0:
-        found.append("hears no peer")
+        found.append("has no peers")
     return found
 
 
-def _whole(value: float | None) -> int | None:
+def _to_int(value: float | None) -> int | None:
     return None if value is None else int(value)
 
 
--- a/src/beamloom/cli/trace.py
+++ b/src/beamloom/cli/trace.py
@@ -1,4 +1,4 @@
-"""`beamloom trace`: what the logs of token nodes hold on one flow, in order of time."""
+"""`beamloom trace`: the log lines of token nodes about one flow, ordered by time."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
     }
 )
 START_EVENT = "StartTimeline"
-END_OF_MOMENTS = "_ms"
-AROUND_SECONDS = 5.0
-"""How long before and after a flow's lines those on its backends and nodes are shown."""
+MILLISECONDS_SUFFIX = "_ms"
+CONTEXT_SECONDS = 5.0
+"""Lines about a flow's backends and nodes are shown this long before and after the flow's."""
 HIDDEN_FIELDS = ("time", "node", "event")
 
 
@@ -48,7 +48,7 @@
     fields: Mapping[str, Any]
 
     def describe(self, since: float) -> str:
-        """Return the line as a person reads it, its time relative to `since`."""
+        """Return the line as text, with its time relative to `since`."""
         shown = " ".join(
             f"{name}={value}" for name, value in self.fields.items() if name not in HIDDEN_FIELDS
         )
@@ -63,53 +63,56 @@
 def trace(
     flow: Annotated[str, Parameter(help="CLIENT:PORT, or CLIENT:PORT>DESTINATION:PORT.")],
     /,
-    *logs: Annotated[Path, Parameter(help="Log files of nodes; none: standard input.")],
+    *logs: Annotated[Path, Parameter(help="Log files of nodes; by default standard input.")],
 ) -> ExitStatus:
-    """Print what nodes decided on a flow, and what they believed of its backends meanwhile.
+    """Print the decisions of nodes on a flow, and events of its backends and nodes at that time.
 
-    The logs of several nodes may be given, in any order. Exit status 1: no line is about the flow.
+    The logs of several nodes may be given, in any order. Exit status: 1 when no line is about the
+    flow.
 
     Parameters
     ----------
     flow
-        The client's end of the flow, as lines have it in `flow`.
+        The client's address of the flow, as in the field `flow` of the log.
     logs
-        Files of event logs; text before a line's first brace is passed over.
+        Files of event logs; text before a line's first brace is ignored.
 
     """
     lines = sorted(_read_all(logs), key=lambda line: line.time)
-    story = list(select(lines, flow))
-    if not story:
+    selected = list(select(lines, flow))
+    if not selected:
         sys.stderr.write(
             f"no line is about {flow}; its lines may have been left out under load "
-            "(left_out_before), or it met other nodes: give their logs too\n"
+            "(left_out_before), or other nodes handled it: give their logs too\n"
         )
         return ExitStatus.FAILED
-    for line in story:
-        write_line(line.describe(story[0].time))
+    for line in selected:
+        write_line(line.describe(selected[0].time))
     return ExitStatus.SUCCESS
 
 
 def select(lines: list[LogLine], flow: str) -> Iterator[LogLine]:
-    """Yield the lines on a flow, and those around them on its backends and nodes."""
-    own = [line for line in lines if _is_about(line, flow)]
-    if not own:
+    """Yield the lines about a flow, and those about its backends and nodes around that time."""
+    flow_lines = [line for line in lines if _is_about(line, flow)]
+    if not flow_lines:
         return
-    backends = {line.fields["backend"] for line in own if "backend" in line.fields}
-    services = {name for line in own for name in str(line.fields.get("services", "")).split(",")}
-    nodes = {line.node for line in own}
-    first, last = own[0].time - AROUND_SECONDS, own[-1].time + AROUND_SECONDS
+    backends = {line.fields["backend"] for line in flow_lines if "backend" in line.fields}
+    services = {
+        name for line in flow_lines for name in str(line.fields.get("services", "")).split(",")
+    }
+    nodes = {line.node for line in flow_lines}
+    first, last = flow_lines[0].time - CONTEXT_SECONDS, flow_lines[-1].time + CONTEXT_SECONDS
     for line in lines:
         if _is_about(line, flow) or (
             first <= line.time
-            and _began(line) <= last
+            and _start_time(line) <= last
             and _is_context(line, backends | services, nodes)
         ):
             yield line
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the event lines among lines of text; others are passed over."""
+    """Yield the event lines among lines of text; other lines are ignored."""
     for text in texts:
         start = text.find("{")
         if start < 0:
@@ -133,24 +136,24 @@
 
 
 def _is_about(line: LogLine, flow: str) -> bool:
-    known = str(line.fields.get("flow", ""))
-    return known == flow or known.startswith(f"{flow}>")
+    logged = str(line.fields.get("flow", ""))
+    return logged == flow or logged.startswith(f"{flow}>")
 
 
-def _began(line: LogLine) -> float:
-    """Return when what a line tells began: a start's line comes up to ten seconds after it."""
+def _start_time(line: LogLine) -> float:
+    """Return when the event of a line began; StartTimeline is logged after the start's end."""
     if line.event != START_EVENT:
         return line.time
-    spans = [
+    durations = [
         value
         for name, value in line.fields.items()
-        if name.endswith(END_OF_MOMENTS) and isinstance(value, int | float)
+        if name.endswith(MILLISECONDS_SUFFIX) and isinstance(value, int | float)
     ]
-    return line.time - max(spans, default=0.0) / MILLISECONDS
+    return line.time - max(durations, default=0.0) / MILLISECONDS
 
 
 def _is_context(line: LogLine, names: set[str], nodes: set[str]) -> bool:
-    """Whether a line is on one of the nodes, or there on one of the backends or services."""
+    """Whether a line of one of the nodes is about the node, or about a backend or service."""
     if line.node not in nodes:
         return False
     if line.event in BACKEND_EVENTS:
--- a/src/beamloom/units.py
+++ b/src/beamloom/units.py
@@ -1,8 +1,8 @@
-"""Factors between units of the International System, each in one place."""
+"""Conversion factors between units."""
 
 MILLISECONDS = 1000
-"""In a second: settings, messages and log lines tell milliseconds where fields hold seconds."""
+"""Milliseconds in a second."""
 BYTES_PER_MEGABIT = 125_000
-"""A million bits, eight to a byte: links are told in megabits a second."""
+"""Bytes in a megabit (10^6 bits)."""
 BYTES_PER_MEGABYTE = 1 << 20
-"""What limits of memory are told in."""
+"""Bytes in a mebibyte, the unit of memory use and its limits."""
--- a/tests/unit/test_nodes_command.py
+++ b/tests/unit/test_nodes_command.py
@@ -1,4 +1,4 @@
-"""`beamloom nodes`: what it makes of metrics pages, and of nodes that do not answer."""
+"""`beamloom nodes` with metrics pages and with nodes that do not answer."""
 
 import contextlib
 import io
@@ -26,7 +26,7 @@
 beamloom_packets_total{event="refused_no_backend"} 2.0
 beamloom_packets_total{event="dropped_unknown_token"} 4.0
 """
-NOBODY = "127.0.0.1:1"
+UNUSED_ADDRESS = "127.0.0.1:1"
 
 
 class MetricsPage(BaseHTTPRequestHandler):
@@ -36,7 +36,7 @@
         self.wfile.write(GOOD_PAGE.encode())
 
     def log_message(self, format: str, *args: object) -> None:
-        """Say nothing."""
+        """Suppress the request log."""
 
 
 class DescribeTest(unittest.TestCase):
@@ -48,7 +48,7 @@
         self.assertEqual((row["state"], row["version"], row["backends"]), ("ready", 7, 10))
         self.assertEqual((row["refused"], row["dropped"], row["trouble"]), (5, 4, ""))
 
-    def test_dead_backends_and_evacuated_zones_are_counted(self) -> None:
+    def test_backends_down_and_evacuated_zones_are_counted(self) -> None:
         page = (
             GOOD_PAGE
             + "# TYPE beamloom_backends_down gauge\nbeamloom_backends_down 3.0\n"
@@ -64,7 +64,7 @@
             "takes no packets": GOOD_PAGE.replace("ready 1.0", "ready 0.0"),
             "version 9 is in force elsewhere": GOOD_PAGE,
             "not confirmed": GOOD_PAGE.replace("0.42", "30.0"),
-            "hears no peer": GOOD_PAGE.replace("peers 6.0", "peers 0.0"),
+            "has no peers": GOOD_PAGE.replace("peers 6.0", "peers 0.0"),
         }
         for expected, page in cases.items():
             with self.subTest(expected=expected):
@@ -73,7 +73,7 @@
 
 
 class CommandTest(unittest.TestCase):
-    def test_nodes_that_answer_and_one_that_does_not(self) -> None:
+    def test_unreachable_node_is_reported_beside_a_ready_one(self) -> None:
         server = ThreadingHTTPServer(("127.0.0.1", 0), MetricsPage)
         threading.Thread(target=server.serve_forever, daemon=True).start()
         self.addCleanup(server.server_close)
@@ -81,7 +81,7 @@
         address = f"127.0.0.1:{server.server_port}"
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
-            status = main(["nodes", address, NOBODY, "--format", "json"])
+            status = main(["nodes", address, UNUSED_ADDRESS, "--format", "json"])
         rows = json.loads(output.getvalue())
         self.assertEqual(status, 1)
         self.assertEqual([row["state"] for row in rows], ["ready", "unreachable"])
--- a/tests/unit/test_token_commands.py
+++ b/tests/unit/test_token_commands.py
@@ -1,4 +1,4 @@
-"""The commands for token nodes: check, decode, trace."""
+"""Commands for token nodes: `beamloom check`, `decode` and `trace`."""
 
 import contextlib
 import io
@@ -22,7 +22,7 @@
     return status, output.getvalue()
 
 
-class FolderCase(unittest.TestCase):
+class TemporaryFolderTestCase(unittest.TestCase):
     def setUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
 
@@ -32,20 +32,20 @@
         return str(path)
 
 
-class CheckTest(FolderCase):
+class CheckTest(TemporaryFolderTestCase):
     def test_settings_of_a_token_node(self) -> None:
         status, output = call("check", self.write("node.toml", SETTINGS))
         self.assertEqual(status, 0)
         self.assertIn("settings of token node front-1 in zone laucala", output)
 
-    def test_all_faults_are_told_at_once(self) -> None:
+    def test_all_faults_are_reported(self) -> None:
         text = SETTINGS.replace(":8172", "").replace('ip = "10.1.0.10"', "ip = 5")
         status, output = call("check", self.write("node.toml", text))
         self.assertEqual(status, 1)
         for expected in ("bind-addrs.datagram-addr", "ip = 5", "correct the file"):
             self.assertIn(expected, output)
 
-    def test_the_deploy_file_of_this_repository_is_good(self) -> None:
+    def test_the_deploy_file_of_this_repository_is_valid(self) -> None:
         status, output = call("check", str(DEPLOY))
         self.assertEqual((status, "deploy file of 1 roles" in output), (0, True))
 
@@ -68,12 +68,12 @@
         self.assertEqual(status, 0)
         self.assertIn("to 000000007f3a91c2: 100.64.0.7", output)
 
-    def test_what_is_no_packet_is_told(self) -> None:
+    def test_invalid_datagrams_are_reported(self) -> None:
         self.assertEqual(call("decode", "0011")[0], 1)
         self.assertEqual(call("decode", "zz")[0], 2)
 
 
-class TraceTest(FolderCase):
+class TraceTest(TemporaryFolderTestCase):
     def setUp(self) -> None:
         super().setUp()
         events = [
@@ -92,7 +92,7 @@
         ]
         self.log = self.write("n1.log", "\n".join(["noise", "{broken", *lines]))
 
-    def test_a_flow_is_told_with_what_was_believed_of_its_backend(self) -> None:
+    def test_a_flow_is_shown_with_events_of_its_backend_and_node(self) -> None:
         status, output = call("trace", "100.64.0.7:40001", self.log)
         self.assertEqual(status, 0)
         events = [line.split()[2] for line in output.splitlines()]
@@ -101,18 +101,18 @@
             ["BackendChanged", "FlowPlaced", "BackendChanged", "DependencyLost", "RequestStalled"],
         )
 
-    def test_a_start_that_met_the_flow_is_shown_though_it_is_told_later(self) -> None:
-        told = [(9.5, "n1", 8000.0), (11.0, "n1", 500.0), (9.0, "n2", 8000.0)]
+    def test_a_start_during_the_flow_is_shown_although_logged_later(self) -> None:
+        starts = [(9.5, "n1", 8000.0), (11.0, "n1", 500.0), (9.0, "n2", 8000.0)]
         lines = [
             json.dumps({"time": at, "node": node, "event": "StartTimeline", "modules_ms": length})
-            for at, node, length in told
+            for at, node, length in starts
         ]
         path = self.write("starts.log", "\n".join(lines))
         status, output = call("trace", "100.64.0.7:40001", self.log, path)
         self.assertEqual((status, output.count("StartTimeline")), (0, 1))
         self.assertIn("modules_ms=8000.0", output)
 
-    def test_an_unknown_flow_is_told_with_the_remedy(self) -> None:
+    def test_an_unknown_flow_is_an_error_with_the_remedy(self) -> None:
         status, output = call("trace", "1.2.3.4:5", self.log)
         self.assertEqual(status, 1)
         self.assertIn("give their logs too", output)
