--- a/src/beamloom/cli/demo.py
+++ b/src/beamloom/cli/demo.py
@@ -1,4 +1,4 @@
-"""`beamloom demo`: a whole fleet on loopback, with planned changes under way."""
+"""`beamloom demo`: run a whole fleet on loopback during planned changes."""
 
 from __future__ import annotations
 
@@ -50,20 +50,20 @@
     """Run platform, balancers, backends, fabric and clients in one process on loopback.
 
     Meanwhile a backend is drained and the balancers are replaced one by one, as far as the
-    duration allows. Exit status 1 if an established flow broke.
+    duration allows. Exit status: 1 when an established flow broke.
 
     Parameters
     ----------
     tenants
-        How many tenants; the two users' deployments in turn.
+        Number of tenants, which use the two users' deployments in turn.
     balancers
-        How many balancers run at once.
+        Number of balancers that run at the same time.
     duration
         Seconds during which new flows are opened.
     rate
-        New flows a second, of all tenants together.
+        New flows per second of all tenants together.
     output_format
-        For people, or JSON.
+        A table, or JSON for programs.
 
     """
     options = DemoOptions(tenants, balancers, duration, rate)
@@ -99,7 +99,7 @@
     write_line("")
     write_line(
         f"{report.replaced_balancers} balancers replaced; "
-        f"drained meanwhile: {report.drained_backend or 'nothing'}"
+        f"drained backend: {report.drained_backend or 'none'}"
     )
 
 
--- a/src/beamloom/cli/run.py
+++ b/src/beamloom/cli/run.py
@@ -1,4 +1,4 @@
-"""`beamloom run`: one balancer, or one of the stand-ins, each a process of its own."""
+"""`beamloom run`: run one balancer or one stand-in in this process."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 from beamloom.standins.platform_store import PlatformStore
 from beamloom.telemetry.logs import configure_logs
 
-ANY = "127.0.0.1:0"
+ANY_ADDRESS = "127.0.0.1:0"
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-CLIENT_CLOSE_SECONDS = 5.0
-CHECK_SECONDS = 0.02
+CLIENT_CLOSE_TIMEOUT_SECONDS = 5.0
+POLL_INTERVAL_SECONDS = 0.02
 
 run_app = App(name="run", help="Run a balancer, or one of the stand-ins, until SIGTERM or SIGINT.")
 
@@ -56,12 +56,12 @@
 ) -> int:
     """Run one balancer from its settings file.
 
-    SIGTERM or SIGINT: planned stop, exit status 0 once complete; a second one stops at once, 1.
-    SIGHUP: read the fleet's key files anew.
+    SIGTERM or SIGINT starts a planned stop (exit status 0); a second one stops at once (1).
+    SIGHUP reloads the fleet's key files.
     """
-    checked = load_node_settings(settings)
-    limit = configure_logs(checked.log.format)
-    async with NodeProcess(checked, settings.parent) as process:
+    node_settings = load_node_settings(settings)
+    limit = configure_logs(node_settings.log.format)
+    async with NodeProcess(node_settings, settings.parent) as process:
         process.metrics.extra["log_lines"] = limit.counters
         restore = handle_signals(process)
         try:
@@ -73,13 +73,13 @@
 @run_app.command
 async def platform(
     *,
-    token_file: Annotated[Path, Parameter(help="File with the token that callers must send.")],
-    address: Annotated[AddressText, Parameter(help="Where to listen (HTTP).")] = ANY,
+    token_file: Annotated[Path, Parameter(help="File with the token that requests must carry.")],
+    address: Annotated[AddressText, Parameter(help="Address to listen on (HTTP).")] = ANY_ADDRESS,
     deployment: Annotated[
-        Path | None, Parameter(help="Deployment file whose objects it begins with.")
+        Path | None, Parameter(help="Deployment file with the initial objects.")
     ] = None,
 ) -> None:
-    """Run the stand-in of the platform: object API, watches and machine list, in memory."""
+    """Run the platform's stand-in: object API, watches and machine list, in memory."""
     store = PlatformStore(random.Random())
     if deployment is not None:
         for key, value in load_deployment(deployment).to_objects():
@@ -95,23 +95,30 @@
 
 @run_app.command
 async def backend(
-    name: Annotated[str, Parameter(help="TENANT/SERVICE/BACKEND, shown in answers.")],
+    name: Annotated[str, Parameter(help="TENANT/SERVICE/BACKEND, sent in answers.")],
     /,
     *,
-    service: Annotated[VirtualAddressText, Parameter(help="tcp://IP:PORT that it answers for.")],
-    address: Annotated[AddressText, Parameter(help="Packets from balancers (UDP).")] = ANY,
-    health: Annotated[AddressText, Parameter(help="Health, faults and drain (HTTP).")] = ANY,
+    service: Annotated[
+        VirtualAddressText, Parameter(help="Virtual address that it serves: tcp://IP:PORT.")
+    ],
+    address: Annotated[AddressText, Parameter(help="Packets from balancers (UDP).")] = ANY_ADDRESS,
+    health: Annotated[
+        AddressText, Parameter(help="Health, faults and drain (HTTP).")
+    ] = ANY_ADDRESS,
     balancers: Annotated[
-        tuple[AddressText, ...], Parameter(negative="", help="Send answers to these, by chance.")
+        tuple[AddressText, ...],
+        Parameter(negative="", help="Send answers to these, chosen at random."),
     ] = (),
-    cold_seconds: Annotated[float, Parameter(help="How long it is slow after its start.")] = 0.0,
+    cold_seconds: Annotated[
+        float, Parameter(help="Seconds of slow answers after its start.")
+    ] = 0.0,
 ) -> None:
-    """Run a stand-in backend; SIGTERM drains it, and it ends when it is idle."""
-    chance = random.Random()
-    begin = asyncio.get_running_loop().time()
+    """Run a stand-in backend; SIGTERM drains it, then it exits once idle or on a second signal."""
+    rng = random.Random()
+    started_at = asyncio.get_running_loop().time()
     options = BackendOptions(cold_seconds=cold_seconds)
-    model = BackendModel(name, parse_virtual_address(service), chance, begin, options)
-    process = BackendProcess(model, chance, [parse_address(text) for text in balancers])
+    model = BackendModel(name, parse_virtual_address(service), rng, started_at, options)
+    process = BackendProcess(model, rng, [parse_address(text) for text in balancers])
     async with stop_signal() as stop:
         await process.start(parse_address(address), parse_address(health))
         try:
@@ -122,7 +129,7 @@
             await stop.wait()
             model.drain()
             stop.clear()
-            await _first(process.wait_idle(), stop.wait())
+            await _wait_first(process.wait_idle(), stop.wait())
         finally:
             await process.stop()
 
@@ -132,15 +139,21 @@
     *,
     balancers: Annotated[
         tuple[AddressText, ...],
-        Parameter(negative="", help="Data addresses to spray packets over."),
+        Parameter(negative="", help="Data addresses to spread packets over."),
     ] = (),
-    client_address: Annotated[AddressText, Parameter(help="Packets of clients (UDP).")] = ANY,
-    balancer_address: Annotated[AddressText, Parameter(help="Answers (UDP); a gateway.")] = ANY,
-    admin_address: Annotated[AddressText, Parameter(help="GET and PUT /balancers (HTTP).")] = ANY,
+    client_address: Annotated[
+        AddressText, Parameter(help="Packets of clients (UDP).")
+    ] = ANY_ADDRESS,
+    balancer_address: Annotated[
+        AddressText, Parameter(help="Answers (UDP); a gateway.")
+    ] = ANY_ADDRESS,
+    admin_address: Annotated[
+        AddressText, Parameter(help="GET and PUT /balancers (HTTP).")
+    ] = ANY_ADDRESS,
 ) -> None:
-    """Run the stand-in of the network fabric."""
-    listed = [parse_address(text) for text in balancers]
-    process = FabricProcess(FabricModel(random.Random(), balancers=listed))
+    """Run the network fabric's stand-in."""
+    balancer_addresses = [parse_address(text) for text in balancers]
+    process = FabricProcess(FabricModel(random.Random(), balancers=balancer_addresses))
     addresses = (parse_address(text) for text in (client_address, balancer_address, admin_address))
     async with stop_signal() as stop:
         await process.start(*addresses)
@@ -162,12 +175,12 @@
     local: Annotated[AddressText, Parameter(help="The client's own inner address.")],
     interval: Annotated[float, Parameter(help="Seconds between updates.")] = 1.0,
     updates: Annotated[
-        int | None, Parameter(help="End after so many answered updates, not only at SIGTERM.")
+        int | None, Parameter(help="Exit after this many answered updates, or at SIGTERM.")
     ] = None,
 ) -> int:
-    """Hold one stream until SIGTERM, then say what became of it (JSON).
+    """Keep one stream open until SIGTERM, then print its outcome as JSON.
 
-    Exit status: 1 when the stream broke.
+    Exit status: 1 when the stream broke or was not established.
     """
     target = parse_virtual_address(service)
     if target.protocol is not TransportProtocol.TCP:
@@ -180,16 +193,20 @@
         await process.open()
         try:
             process.start(flow)
-            wanted = math.inf if updates is None else updates
-            await _until(
-                lambda: stop.is_set() or bool(flow.truth.outcome) or _answered(flow) >= wanted
+            required_updates = math.inf if updates is None else updates
+            await _wait_until(
+                lambda: (
+                    stop.is_set()
+                    or bool(flow.truth.outcome)
+                    or _count_answered_updates(flow) >= required_updates
+                )
             )
             if flow.truth.outcome is None:
                 process.close_stream(flow)
-            async with asyncio.timeout(CLIENT_CLOSE_SECONDS):
-                await _until(lambda: not len(process.host))
+            async with asyncio.timeout(CLIENT_CLOSE_TIMEOUT_SECONDS):
+                await _wait_until(lambda: not len(process.host))
         except TimeoutError:
-            pass  # The outcome below tells what was not closed.
+            pass  # The outcome printed below shows that the stream was not closed.
         finally:
             process.close()
     truth = flow.truth
@@ -221,24 +238,24 @@
 
 
 def _announce(text: str) -> None:
-    """Write a line at once, also into a pipe: whoever started the process waits for it."""
+    """Write a line and flush it, as the parent process may wait for it on a pipe."""
     write_line(text)
     sys.stdout.flush()
 
 
-async def _until(condition: Callable[[], bool]) -> None:
-    """Return once a condition holds."""
+async def _wait_until(condition: Callable[[], bool]) -> None:
+    """Poll until a condition holds."""
     while not condition():
-        await asyncio.sleep(CHECK_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
-def _answered(flow: StreamFlow) -> int:
+def _count_answered_updates(flow: StreamFlow) -> int:
     return flow.truth.updates_answered
 
 
-async def _first(*waits: Awaitable[object]) -> None:
-    """Return when the first of some awaitables is done, and cancel the rest."""
-    tasks = [asyncio.ensure_future(wait) for wait in waits]
+async def _wait_first(*awaitables: Awaitable[object]) -> None:
+    """Wait until the first awaitable is done, and cancel the rest."""
+    tasks = [asyncio.ensure_future(awaitable) for awaitable in awaitables]
     await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
         task.cancel()
--- a/src/beamloom/demo/__init__.py
+++ b/src/beamloom/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet in one process on loopback: platform, fabric, balancers, backends and clients."""
+"""A demo fleet in one process on loopback: platform, fabric, balancers, backends and clients."""
--- a/src/beamloom/demo/changes.py
+++ b/src/beamloom/demo/changes.py
@@ -1,4 +1,4 @@
-"""The planned changes that go on during the demo: every balancer replaced, a backend drained."""
+"""Planned changes during the demo: drain one backend and replace every balancer."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from beamloom.model.machines import NodeId
 
 FIRST_CHANGE_SHARE = 0.15
-"""Share of the demo's duration that passes before the first change."""
+"""Time of the first change, as a share of the demo's duration."""
 
 
 @dataclass(slots=True)
 class PlannedChanges:
-    """What has been changed so far."""
+    """The changes made so far: number of replaced balancers, and key of the drained backend."""
 
     replaced: int = 0
     drained: str = ""
 
 
-async def make_changes(fleet: LoopbackFleet, duration: float, done: PlannedChanges) -> None:
-    """Drain one backend, then replace the balancers one by one; ends when cancelled or done."""
+async def make_changes(fleet: LoopbackFleet, duration: float, made: PlannedChanges) -> None:
+    """Drain one backend, then replace the initial balancers one by one; record both in `made`."""
     await asyncio.sleep(duration * FIRST_CHANGE_SHARE)
-    done.drained = fleet.drain_backend()
+    made.drained = fleet.drain_backend()
     for node_id in list(fleet.balancers):
         await replace_balancer(fleet, node_id)
-        done.replaced += 1
+        made.replaced += 1
 
 
 async def replace_balancer(fleet: LoopbackFleet, node_id: NodeId) -> None:
--- a/src/beamloom/demo/fleet.py
+++ b/src/beamloom/demo/fleet.py
@@ -1,4 +1,4 @@
-"""The loopback fleet: stand-ins and real balancers, each on sockets of its own."""
+"""The demo's fleet on loopback: real balancers and stand-ins, each with its own sockets."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 LOOPBACK = "127.0.0.1"
 ANY_ADDRESS = SocketAddress(LOOPBACK, ANY_PORT)
 READY_TIMEOUT_SECONDS = 60.0
-READY_CHECK_SECONDS = 0.05
+READY_POLL_SECONDS = 0.05
 TOKEN = "demo-token"
 FLEET_KEY = b"demo fleet key, for loopback only"
 
 
 class FleetNotReadyError(Exception):
-    """The balancers did not find each other or the configuration in time."""
+    """The balancers did not discover each other or load the configuration in time."""
 
     def __init__(self, expected: int) -> None:
         super().__init__(
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class RunningBalancer:
-    """One balancer of the demo with what belongs to it; `started_at` is the loop's time."""
+    """One balancer and its resources; `started_at` is in the event loop's time."""
 
     machine: Machine
     process: BalancerProcess
@@ -68,16 +68,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlTraffic:
-    """What a balancer sent to others: mean bytes a second over its life."""
+    """Mean rate at which a balancer sent control traffic while it ran."""
 
     node_id: NodeId
     bytes_per_second: float
 
 
 class LoopbackFleet:
-    """Starts and stops everything; `async with` it.
+    """Context manager that starts and stops balancers and stand-ins.
 
-    Raises OSError when the machine has no ports left, and FleetNotReadyError.
+    Starting raises OSError if sockets cannot be bound, and FleetNotReadyError.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         self.backends: dict[str, BackendProcess] = {}
         self.control_traffic: list[ControlTraffic] = []
         self._balancer_count = balancers
-        self._numbers = itertools.count()
+        self._balancer_numbers = itertools.count()
         self._seed = seed
         self._stack = AsyncExitStack()
         self._platform_address = ANY_ADDRESS
@@ -135,8 +135,8 @@
     async def _start_backend(
         self, stack: AsyncExitStack, key: str, service: VirtualAddress
     ) -> None:
-        chance = random.Random(f"{self._seed}/{key}")
-        process = BackendProcess(BackendModel(key, service, chance), chance)
+        rng = random.Random(f"{self._seed}/{key}")
+        process = BackendProcess(BackendModel(key, service, rng), rng)
         await process.start(ANY_ADDRESS, ANY_ADDRESS)
         stack.push_async_callback(process.stop)
         self.backends[key] = process
@@ -173,7 +173,7 @@
         self._update_fabric()
 
     async def start_balancer(self) -> NodeId:
-        """Start one more balancer, wait until it is ready, and let the fabric use it."""
+        """Start one more balancer, wait until it is ready, and add it to the fabric."""
         seeds = tuple(item.machine.control_address for item in self.balancers.values())
         balancer = await self._start_balancer(MachineSockets.bind_any(LOOPBACK), seeds)
         await self._wait_until_ready()
@@ -181,16 +181,16 @@
         return balancer.machine.node_id
 
     async def stop_balancer(self, node_id: NodeId) -> None:
-        """Take a balancer out of the fabric's list, stop it as planned and wait for its end."""
+        """Remove a balancer from the fabric, and stop it as planned."""
         balancer = self.balancers[node_id]
         balancer.leaving = True
         self._update_fabric()
         balancer.process.request_stop()
         await balancer.process.stopped.wait()
-        await self._close(balancer)
+        await self._close_balancer(balancer)
 
     def _update_fabric(self) -> None:
-        """Tell the fabric, and the backends for their answers, which balancers to use."""
+        """Set the balancers that the fabric and, for their answers, the backends send to."""
         addresses = [
             balancer.machine.data_address
             for balancer in self.balancers.values()
@@ -203,7 +203,7 @@
     async def _start_balancer(
         self, sockets: MachineSockets, seeds: tuple[SocketAddress, ...]
     ) -> RunningBalancer:
-        number = next(self._numbers)
+        number = next(self._balancer_numbers)
         zones = self.deployment.zones
         machine = sockets.machine(NodeId(f"balancer-{number + 1}"), zones[number % len(zones)])
         now = asyncio.get_running_loop().time()
@@ -212,20 +212,20 @@
         options = NodeOptions(machine, seeds, keys, FLEET_KEY, gateways, self._seed)
         process = BalancerProcess(NodeCore(options, now), sockets)
         async with AsyncExitStack() as resources:
-            await self._attach(resources, process, machine)
+            await self._attach_store_and_checks(resources, process, machine)
             process.start()
             balancer = RunningBalancer(machine, process, resources.pop_all(), now)
         self.balancers[machine.node_id] = balancer
         return balancer
 
-    async def _attach(
+    async def _attach_store_and_checks(
         self, resources: AsyncExitStack, process: BalancerProcess, machine: Machine
     ) -> None:
-        """Give a balancer its store client and its health checks."""
-        chance = random.Random(f"{self._seed}/{machine.node_id}")
+        """Attach a store client and health checks to a balancer."""
+        rng = random.Random(f"{self._seed}/{machine.node_id}")
         client = PlatformClient(
             PlatformOptions(f"http://{self._platform_address}", TOKEN),
-            Retrier(RetryPolicy(), chance),
+            Retrier(RetryPolicy(), rng),
         )
         await client.start()
         resources.push_async_callback(client.close)
@@ -237,28 +237,28 @@
         process.extra_handlers.extend((adapter.execute, checks.execute))
 
     async def _wait_until_ready(self) -> None:
-        """Wait until every balancer has the configuration and knows every other one."""
+        """Wait until every balancer is ready and sees as many possible homes as balancers run."""
         expected = len(self.balancers)
         try:
             async with asyncio.timeout(READY_TIMEOUT_SECONDS):
-                while not all(self._is_ready(item, expected) for item in self.balancers.values()):
-                    await asyncio.sleep(READY_CHECK_SECONDS)
+                while not all(self._has_joined(item, expected) for item in self.balancers.values()):
+                    await asyncio.sleep(READY_POLL_SECONDS)
         except TimeoutError as error:
             raise FleetNotReadyError(expected) from error
 
     @staticmethod
-    def _is_ready(balancer: RunningBalancer, expected: int) -> bool:
+    def _has_joined(balancer: RunningBalancer, expected: int) -> bool:
         homes = sum(1 for _ in balancer.core.membership.view.may_be_home())
         return balancer.core.ready and homes >= expected
 
     async def _close_balancers(self) -> None:
         for balancer in list(self.balancers.values()):
-            await self._close(balancer)
+            await self._close_balancer(balancer)
 
-    async def _close(self, balancer: RunningBalancer) -> None:
+    async def _close_balancer(self, balancer: RunningBalancer) -> None:
         del self.balancers[balancer.machine.node_id]
-        lived = asyncio.get_running_loop().time() - balancer.started_at
+        uptime = asyncio.get_running_loop().time() - balancer.started_at
         sent = balancer.core.channel.snapshot().sent_bytes
-        traffic = ControlTraffic(balancer.machine.node_id, sent / lived if lived else 0.0)
+        traffic = ControlTraffic(balancer.machine.node_id, sent / uptime if uptime else 0.0)
         self.control_traffic.append(traffic)
         await balancer.resources.aclose()
--- a/src/beamloom/demo/run.py
+++ b/src/beamloom/demo/run.py
@@ -1,4 +1,4 @@
-"""The demo: tenants under load on loopback while the fleet changes, and what became of it."""
+"""The demo run: load on loopback for several tenants during planned changes, and its report."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from beamloom.standins.load_profiles import first_client_of
 
 Progress = Callable[[float, int, int], None]
-"""Told the share of the run that is over, the flows started and the flows open."""
+"""Called with the flows started as a share of those expected, their number, and the open flows."""
 
 
 @dataclass(frozen=True, slots=True)
 class DemoOptions:
-    """What to run: `rate` is new flows a second of all tenants, `duration` is in seconds."""
+    """Options of a run: `rate` is new flows per second of all tenants, `duration` is in seconds."""
 
     tenants: int = 2
     balancers: int = 3
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantLoad:
-    """What became of one tenant's flows."""
+    """Result of one tenant's load."""
 
     tenant: str
     load: LoadResult
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemoReport:
-    """What became of all flows, and what was changed meanwhile."""
+    """Results of all loads, and the changes made during them."""
 
     loads: tuple[TenantLoad, ...]
     replaced_balancers: int
@@ -50,14 +50,14 @@
 
 
 class _ProgressSum:
-    """Adds up the progress of the tenants' loads."""
+    """Sums the progress of the tenants' loads."""
 
     def __init__(self, total: float, progress: Progress | None) -> None:
         self._total = total
         self._progress = progress
         self._latest: dict[str, tuple[int, int]] = {}
 
-    def reporter(self, tenant: str) -> Callable[[int, int], None]:
+    def callback_for(self, tenant: str) -> Callable[[int, int], None]:
         def report(started: int, open_flows: int) -> None:
             self._latest[tenant] = (started, open_flows)
             if self._progress is not None:
@@ -69,7 +69,7 @@
 
 
 async def run_demo(options: DemoOptions, progress: Progress | None = None) -> DemoReport:
-    """Run the tenants' loads; raises FleetNotReadyError and OSError."""
+    """Run the tenants' loads and the planned changes; raises FleetNotReadyError and OSError."""
     deployment, tenants = demo_deployment(options.tenants)
     changes = PlannedChanges()
     fleet = LoopbackFleet(deployment, tenants, options.balancers)
@@ -78,7 +78,7 @@
         try:
             loads = await _run_loads(fleet, tenants, options, progress)
         finally:
-            await _end(maintenance)
+            await _cancel(maintenance)
     return DemoReport(tuple(loads), changes.replaced, changes.drained, tuple(fleet.control_traffic))
 
 
@@ -88,18 +88,18 @@
     options: DemoOptions,
     progress: Progress | None,
 ) -> list[TenantLoad]:
-    share = options.rate / len(tenants)
-    summed = _ProgressSum(options.rate * options.duration, progress)
+    rate_per_tenant = options.rate / len(tenants)
+    progress_sum = _ProgressSum(options.rate * options.duration, progress)
     runs = [
         run_load(
             tenant.profile,
-            share,
+            rate_per_tenant,
             options.duration,
             fabric=fleet.fabric.client_address,
             services=tenant.services,
             seed=number,
             first_client=first_client_of(number),
-            progress=summed.reporter(tenant.name),
+            progress=progress_sum.callback_for(tenant.name),
         )
         for number, tenant in enumerate(tenants)
     ]
@@ -109,8 +109,8 @@
     ]
 
 
-async def _end(task: asyncio.Task[None]) -> None:
-    """Cancel what is still going on; a failure that came before is raised."""
+async def _cancel(task: asyncio.Task[None]) -> None:
+    """Cancel a task, or raise the exception with which it has already failed."""
     task.cancel()
     try:
         await task
--- a/src/beamloom/demo/tenants.py
+++ b/src/beamloom/demo/tenants.py
@@ -1,4 +1,4 @@
-"""The demo's tenants: the two users' deployments, as often as tenants are asked for."""
+"""The demo's tenants, made from the two users' example deployments in turn."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from beamloom.settings.tree import Scope
 from beamloom.standins.load_profiles import ProfileName
 
-ADDRESS_STEP = 1
+ADDRESS_OFFSET_PER_COPY = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,15 +26,16 @@
 
 
 def example_deployment(profile: ProfileName) -> Deployment:
-    """Return the deployment of one of the two users that ships with the package."""
+    """Return one user's example deployment, which is part of the package."""
     with as_file(files("beamloom").joinpath("examples", f"{profile.value}.toml")) as path:
         return load_deployment(path)
 
 
 def demo_deployment(tenant_count: int) -> tuple[Deployment, list[DemoTenant]]:
-    """Return one deployment with the users' tenants in turn, each with addresses of its own.
+    """Return a deployment with the users' tenants in turn, and its tenants.
 
-    Zones are those of the first user: on loopback they name balancers and backends, no more.
+    Further copies of a user's tenant get other names and virtual addresses. The zones, links and
+    client delay are those of the first user's deployment.
     """
     examples = {profile: example_deployment(profile) for profile in ProfileName}
     base = examples[ProfileName.VAKATALE]
@@ -44,9 +45,9 @@
     for number in range(tenant_count):
         profile = list(ProfileName)[number % len(ProfileName)]
         example = examples[profile]
-        table = _renamed(example.tenants[0], number // len(ProfileName))
+        table = _copy_tenant(example.tenants[0], number // len(ProfileName))
         tables.append(table)
-        settings.update(_renamed_settings(example, table.name))
+        settings.update(_copy_settings(example, table.name))
         tenants.append(
             DemoTenant(
                 table.name,
@@ -58,19 +59,19 @@
     return deployment, tenants
 
 
-def _renamed(table: TenantTable, copy: int) -> TenantTable:
+def _copy_tenant(table: TenantTable, copy: int) -> TenantTable:
     if not copy:
         return table
-    services = tuple(_moved(service, copy) for service in table.services)
+    services = tuple(_copy_service(service, copy) for service in table.services)
     return table.model_copy(update={"name": f"{table.name}-{copy + 1}", "services": services})
 
 
-def _moved(service: ServiceTable, copy: int) -> ServiceTable:
-    address = ipaddress.ip_address(service.ip) + copy * ADDRESS_STEP
+def _copy_service(service: ServiceTable, copy: int) -> ServiceTable:
+    address = ipaddress.ip_address(service.ip) + copy * ADDRESS_OFFSET_PER_COPY
     return service.model_copy(update={"ip": str(address)})
 
 
-def _renamed_settings(example: Deployment, name: str) -> dict[Scope, dict[str, SettingValue]]:
+def _copy_settings(example: Deployment, name: str) -> dict[Scope, dict[str, SettingValue]]:
     return {
         Scope(name, scope.service): dict(values)
         for scope, values in example.settings.items()
--- a/tests/functional/test_run_commands.py
+++ b/tests/functional/test_run_commands.py
@@ -1,4 +1,4 @@
-"""`beamloom run` as processes: a whole path on loopback, planned stops and failures at start."""
+"""`beamloom run` as processes: traffic over loopback, planned stops and failures at start."""
 
 import asyncio
 import json
@@ -22,8 +22,8 @@
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
 
-    async def line(self, containing: str) -> str:
-        """Return the next line of output or log that contains a text."""
+    async def wait_for_line(self, containing: str) -> str:
+        """Return the next line of output or log that contains a text; skip other lines."""
         async with asyncio.timeout(PATIENCE_SECONDS):
             while line := (await self.stream().readline()).decode():
                 if containing in line:
@@ -35,12 +35,12 @@
         return self.process.stdout
 
     async def stop(self) -> tuple[int, str]:
-        """Send SIGTERM, then as `end`."""
+        """Send SIGTERM; return the exit status and the rest of the output."""
         self.process.send_signal(signal.SIGTERM)
-        return await self.end()
+        return await self.wait()
 
-    async def end(self) -> tuple[int, str]:
-        """Return the exit status and the rest of the output."""
+    async def wait(self) -> tuple[int, str]:
+        """Wait for the exit; return the exit status and the rest of the output."""
         async with asyncio.timeout(PATIENCE_SECONDS):
             rest = await self.stream().read()
             return await self.process.wait(), rest.decode()
@@ -57,10 +57,10 @@
             stderr=asyncio.subprocess.STDOUT,
             env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
         )
-        self.addAsyncCleanup(self.end, process)
+        self.addAsyncCleanup(self.kill, process)
         return Program(process)
 
-    async def end(self, process: asyncio.subprocess.Process) -> None:
+    async def kill(self, process: asyncio.subprocess.Process) -> None:
         if process.returncode is None:
             process.kill()
         await process.communicate()
@@ -70,14 +70,14 @@
         text = path.read_text().replace("127.0.0.1:9", gateway)
         path.write_text(text + '\n[log]\nformat = "json"\n')
         program = await self.start_program("run", "balancer", "--settings", str(path))
-        await program.line("admin API on")
+        await program.wait_for_line("admin API on")
         return program
 
-    async def test_whole_path_of_processes_and_a_planned_stop(self) -> None:
+    async def test_stream_through_all_processes_and_planned_stops(self) -> None:
         fabric = await self.start_program("run", "fabric")
         backend = await self.start_program("run", "backend", "t/s/b", "--service", SERVICE)
-        clients, gateway, admin = ADDRESS.findall(await fabric.line("listens"))
-        data, health = ADDRESS.findall(await backend.line("listens"))
+        clients, gateway, admin = ADDRESS.findall(await fabric.wait_for_line("listens"))
+        data, health = ADDRESS.findall(await backend.wait_for_line("listens"))
         await self.client.write("tenant/t", {}, 0)
         await self.client.write("service/t/s", VIRTUAL, 0)
         value = {"address": data, "health": health, "zone": "laucala"}
@@ -91,10 +91,10 @@
         stream = ("--local", "198.18.0.1:1024", "--interval", "0.05", "--updates", "10")
         target = ("--fabric", clients, "--service", SERVICE)
         client = await self.start_program("run", "client", *target, *stream)
-        status, output = await client.end()
-        truth = json.loads(output)
-        self.assertEqual((status, truth["broken"], truth["backends"]), (0, False, ["t/s/b"]))
-        self.assertGreaterEqual(truth["updates_answered"], 10)
+        status, output = await client.wait()
+        outcome = json.loads(output)
+        self.assertEqual((status, outcome["broken"], outcome["backends"]), (0, False, ["t/s/b"]))
+        self.assertGreaterEqual(outcome["updates_answered"], 10)
         for program in (backend, balancer, fabric):
             self.assertEqual((await program.stop())[0], 0)
         self.assertEqual(len((await self.client.list_machines()).leaving), 1)
@@ -107,17 +107,17 @@
     async def test_platform_process_serves_a_token_holder(self) -> None:
         token = str(self.folder / "platform.token")
         platform = await self.start_program("run", "platform", "--token-file", token)
-        (address,) = ADDRESS.findall(await platform.line("listens"))
+        (address,) = ADDRESS.findall(await platform.wait_for_line("listens"))
         access = ("--platform", f"http://{address}", "--platform-token-file", token)
         self.assertEqual(await asyncio.to_thread(main, ("tenant", "create", "t", *access)), 0)
         self.assertEqual((await platform.stop())[0], 0)
 
-    async def test_failures_at_start_take_one_line_each_and_status_1(self) -> None:
+    async def test_failures_at_start_print_one_line_each_and_exit_with_1(self) -> None:
         (self.folder / "fleet.key").write_bytes(b"short")
         (self.folder / "hash.key").unlink()
         path = self.write_settings("one")
         program = await self.start_program("run", "balancer", "--settings", str(path))
-        status, output = await program.end()
+        status, output = await program.wait()
         lines = output.splitlines()
         self.assertEqual((status, len(lines)), (1, 2), lines)
         self.assertIn("the key has 5 bytes; make a file of 32 to 64", lines[0])
