--- a/src/beamloom/cli/bench.py
+++ b/src/beamloom/cli/bench.py
@@ -1,4 +1,4 @@
-"""`beamloom bench`: measurements of the product on this machine."""
+"""`beamloom bench`: benchmarks of the product on this machine."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
 
 def tokens(
     *,
-    packets: Annotated[int, POSITIVE, Parameter(help="Packets a round.")] = 120_000,
-    rounds: Annotated[int, POSITIVE, Parameter(help="Rounds; the middle one counts.")] = 5,
+    packets: Annotated[int, POSITIVE, Parameter(help="Packets per round.")] = 120_000,
+    rounds: Annotated[int, POSITIVE, Parameter(help="Rounds; their median is reported.")] = 5,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> None:
-    """Measure what a packet costs on the token path, with the event log off and on."""
+    """Measure the time per packet on the token path, with the event log off and on."""
     cost = measure_token_path(packets, rounds)
     rows: list[Row] = [
         {"measure": "microseconds a packet, log off", "value": round(cost.without_log, 3)},
@@ -61,11 +61,11 @@
 
 async def forwarding(
     *,
-    flows: Annotated[int, POSITIVE, Parameter(help="Open flows in the table.")] = 100_000,
-    seconds: Annotated[float, POSITIVE, Parameter(help="How long to measure.")] = 5.0,
+    flows: Annotated[int, POSITIVE, Parameter(help="Open flows in the flow table.")] = 100_000,
+    seconds: Annotated[float, POSITIVE, Parameter(help="Seconds to measure.")] = 5.0,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> None:
-    """Measure packets a second through one balancer, beside a bare relay on the same loop."""
+    """Measure packets per second through one balancer, compared with a bare UDP relay."""
     try:
         report = await bench_forwarding(flows, seconds)
     except MeasurementError as error:
@@ -98,29 +98,29 @@
     seed: int = 1,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> int:
-    """Run a fleet of hollow nodes in this process and report what control costs, by role.
+    """Run a fleet of hollow nodes in this process and report the cost of control traffic by role.
 
-    The cores are whole; packets are only those that a flow's home must see. Minutes and gigabytes
-    at hundreds of nodes.
+    The nodes have complete decision cores on a simulated network; of the packets only those that a
+    flow's home must process are simulated. Hundreds of nodes take minutes and gigabytes of memory.
 
     Parameters
     ----------
     nodes
-        Nodes of the fleet.
+        Number of nodes.
     endpoints
-        Backends in all, dealt out to the services in turn.
+        Number of backends, assigned to the services in turn.
     services
-        Services in all, two to a tenant.
+        Number of services, two per tenant.
     flows_per_second
-        New flows a second of the whole fleet.
+        New flows per second of the whole fleet.
     open_flows
         Flows of the whole fleet that are open from the start.
     changes_per_day
-        Accepted changes of the configuration a day.
+        Accepted configuration changes per day.
     regions
-        Regions, 40 ms apart.
+        Number of regions; the one-way delay between them is 40 ms.
     zones
-        Zones in all, 1.5 ms apart within a region.
+        Number of zones; the one-way delay between zones of a region is 1.5 ms.
     loss
         Share of datagrams lost on every link.
     duration
@@ -128,19 +128,20 @@
     warm_up
         Virtual seconds before the first phase.
     compression
-        How many times as fast as on a day the changes of the second phase come.
+        Factor of the rate of changes in the second phase over the daily rate.
     never_repeat_share
-        Share of services whose requests may not be repeated.
+        Share of services whose requests must not be repeated.
     long_flow_share
-        Share of new flows that outlast the run.
+        Share of new flows that stay open beyond the run.
     failures
-        Add a phase with crashes, replacements, a rack, a split of the regions and a zone's loss.
+        Add a phase with crashes, replacements, the failure of a rack, a partition of two regions
+        and the failure of a zone.
     single_core
-        Measure one core that shares nothing as well.
+        Also measure one core that shares no structures with others.
     seed
-        Decides every random draw.
+        Seed of all random draws.
     output_format
-        For people, or JSON.
+        A table, or JSON for programs.
 
     """
     report = bench_scale(
--- a/src/beamloom/cli/experiment.py
+++ b/src/beamloom/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`beamloom experiment`: a sweep of the simulator, one part per process, and its report."""
+"""`beamloom experiment`: run a sweep of simulations, whole or in parts, and write its report."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 ) -> int:
     """Sweep scenarios, placements, seeds and fleet sizes, and write the report.
 
-    Without `--part` and `--join` the whole sweep runs here and is joined at once. A part writes
-    only its results; run every part, each in a process of its own, and then `--join`.
+    Without --part and --join the whole sweep runs in this process and the report is written.
+    With --part only that part's results are written; run every part, then --join.
     """
     if part and join:
         raise UsageError("give --part or --join, not both.")
@@ -57,7 +57,7 @@
 
 
 def _with_progress(results: Iterator[CellResult], cells: Sequence[Cell]) -> Iterator[CellResult]:
-    """Pass results on and show on standard error how many there are."""
+    """Yield the results and show their number as a progress bar on standard error."""
     columns = (
         TextColumn("runs"),
         BarColumn(),
--- a/src/beamloom/cli/fuzz.py
+++ b/src/beamloom/cli/fuzz.py
@@ -1,4 +1,4 @@
-"""`beamloom fuzz`: stateful fuzzing that goes on where CI stops, and replay of what it found."""
+"""`beamloom fuzz`: stateful fuzzing for a given time, and replay of the failures found."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
     machine: SubjectName = SubjectName.FLEET,
     replay: str = "",
 ) -> int:
-    """Search for steps that break what must hold, shrink them and print how to replay them.
+    """Search for steps that violate an invariant, shrink them and print how to replay them.
 
-    The exit status is 1 when a failure was found, or came again when replayed.
+    Exit status: 1 when a failure was found or, with --replay, reproduced.
 
     Parameters
     ----------
     seed
-        Where the search begins; each round takes the next number.
+        Seed of the first round; each further round uses the next number.
     budget
-        Seconds to search; a failure is then shrunk for up to three quarters as long again.
+        Seconds to search; shrinking a failure then takes up to three quarters of that time more.
     machine
-        What is searched.
+        The subject to fuzz.
     replay
-        A token that an earlier search printed: runs just these steps, without hypothesis.
+        A token printed by an earlier search; only its steps run, without hypothesis.
 
     """
     if replay:
@@ -60,7 +60,7 @@
     result = search(machine, seed, budget)
     write_line(f"{machine}: {result.runs} runs in {result.rounds} rounds from seed {seed}")
     if result.failure is None:
-        write_line("nothing found")
+        write_line("no failure found")
         return ExitStatus.SUCCESS
     write_failure(result.failure)
     return ExitStatus.FAILED
@@ -76,7 +76,7 @@
 
 
 def write_failure(failure: Failure) -> None:
-    """Write a failure, its steps and the command line that replays it."""
+    """Print a failure, its steps and the command line that replays it."""
     write_line(f"{failure.subject} failed: {failure.error}")
     for number, step in enumerate(failure.steps, start=1):
         write_line(f"  {number}. {step}")
--- a/src/beamloom/cli/load.py
+++ b/src/beamloom/cli/load.py
@@ -1,4 +1,4 @@
-"""`beamloom load`: put one of the users' loads on a running fleet."""
+"""`beamloom load`: generate one user's traffic for a running fleet."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from beamloom.standins.load import LoadResult, run_load
 from beamloom.standins.load_profiles import ProfileName
 
-Positive = Parameter(validator=Number(gt=0))
+POSITIVE = Parameter(validator=Number(gt=0))
 COLUMNS = ("measure", "value")
 
 
@@ -28,21 +28,22 @@
 
 async def load(
     *,
-    profile: Annotated[ProfileName, Parameter(help="Whose mixture of flows.")],
-    rate: Annotated[float, Positive, Parameter(help="New flows a second.")],
-    duration: Annotated[float, Positive, Parameter(help="Seconds.")],
+    profile: Annotated[ProfileName, Parameter(help="The user whose mix of flows is generated.")],
+    rate: Annotated[float, POSITIVE, Parameter(help="New flows a second.")],
+    duration: Annotated[float, POSITIVE, Parameter(help="Seconds.")],
     fabric: Annotated[AddressText, Parameter(help="The fabric's client address.")],
     service: Annotated[
-        tuple[str, ...], Parameter(help="NAME=tcp://IP:PORT, where it differs from the example.")
+        tuple[str, ...],
+        Parameter(help="NAME=tcp://IP:PORT, if it differs from the example deployment."),
     ] = (),
-    seed: Annotated[int, Parameter(help="The same seed gives the same flows.")] = 1,
+    seed: Annotated[int, Parameter(help="Seed of the random flows.")] = 1,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> ExitStatus:
-    """Open flows as one of the users' clients do, and say what became of them.
+    """Open flows as one user's clients do, and report their outcomes.
 
-    Exit status: 1 when an established flow broke, or no flow was answered at all.
+    Exit status: 1 when an established flow broke, or no flow was answered.
     """
-    services = example_services(profile) | dict(map(_named_service, service))
+    services = example_services(profile) | dict(map(_parse_service, service))
     result = await run_load(
         profile, rate, duration, fabric=parse_address(fabric), services=services, seed=seed
     )
@@ -63,18 +64,18 @@
     }
 
 
-def _named_service(text: str) -> tuple[str, VirtualAddress]:
+def _parse_service(text: str) -> tuple[str, VirtualAddress]:
     name, separator, address = text.partition("=")
     try:
         if not separator or not name:
-            raise ValueError(f"{text!r} is no service: give NAME=tcp://IP:PORT")
+            raise ValueError(f"{text!r} is not a service: give NAME=tcp://IP:PORT")
         return name, parse_virtual_address(address)
     except ValueError as error:
         raise UsageError(f"--service: {error}.") from None
 
 
 def _load_rows(result: LoadResult) -> list[dict[str, object]]:
-    """Return the result as rows; nested measures get dotted names."""
+    """Return the result as rows; nested values get dotted names."""
     rows: list[dict[str, object]] = []
     for name, value in result.to_json().items():
         nested = value.items() if isinstance(value, dict) else ()
--- a/src/beamloom/cli/main.py
+++ b/src/beamloom/cli/main.py
@@ -7,7 +7,7 @@
 from beamloom.runtime.signal_mask import block_signals
 
 if sys.argv[1:3] == ["run", "balancer"]:
-    block_signals()  # before what takes the most time of a start
+    block_signals()  # before the imports below, which take most of the startup time
 
 from collections.abc import Sequence
 from importlib.metadata import version
@@ -33,14 +33,14 @@
     ExperimentError,
     OSError,
 )
-"""Errors whose message is for the user; any other is a fault of the program and keeps its trace."""
+"""Errors that are printed as one line; any other is a bug, and its traceback is kept."""
 
 
 def make_app() -> App:
     """Return the command line with every command."""
     app = App(
         name="beamloom",
-        help="A shared layer-4 load balancer. Every command tells more with --help.",
+        help="A shared layer-4 load balancer. Use --help with any command for its options.",
         version=version("beamloom"),
         result_action="return_value",
     )
@@ -49,7 +49,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command; return 0 when it succeeded, 1 when it failed, 2 when it was called wrong."""
+    """Run one command and return its exit status (see ExitStatus)."""
     tokens = list(sys.argv[1:] if arguments is None else arguments)
     try:
         result = make_app()(tokens, exit_on_error=False, print_error=False)
--- a/src/beamloom/cli/output.py
+++ b/src/beamloom/cli/output.py
@@ -15,17 +15,19 @@
 
 
 class OutputFormat(StrEnum):
-    """Forms of a command's output."""
+    """Output formats of a command."""
 
     TABLE = "table"
     JSON = "json"
 
 
-FormatFlag = Annotated[OutputFormat, Parameter(name="--format", help="For people, or JSON.")]
-"""The flag of every command that has output."""
+FormatFlag = Annotated[
+    OutputFormat, Parameter(name="--format", help="table, or json for programs.")
+]
+"""The --format flag."""
 
 Row = Mapping[str, object]
-"""One line of output by column name; values are what JSON can hold."""
+"""Values of one row by column name."""
 
 
 def write_rows(columns: Sequence[str], rows: Iterable[Row], output_format: OutputFormat) -> None:
@@ -35,8 +37,8 @@
         return
     table = Table(*columns, box=None, pad_edge=False)
     for row in rows:
-        table.add_row(*(Text(_cell(row[column])) for column in columns))
-    _console().print(table)
+        table.add_row(*(Text(_format_value(row[column])) for column in columns))
+    _make_console().print(table)
 
 
 def write_json(value: object) -> None:
@@ -50,14 +52,14 @@
 
 
 def write_error(error: BaseException) -> None:
-    """Write one line per error to standard error; groups are taken apart."""
+    """Write one line per error to standard error; the errors of a group get a line each."""
     for single in flatten(error):
         text = " ".join(str(single).split()) or type(single).__name__
         sys.stderr.write(f"error: {text}\n")
 
 
 def flatten(error: BaseException) -> Iterator[BaseException]:
-    """Yield the errors of a group, however deep; another error is yielded itself."""
+    """Yield the errors of a group and of its nested groups; any other error is yielded itself."""
     if isinstance(error, BaseExceptionGroup):
         for inner in error.exceptions:
             yield from flatten(inner)
@@ -65,12 +67,12 @@
         yield error
 
 
-def _console() -> Console:
-    """Return a console that does not cut off what is piped to a program."""
+def _make_console() -> Console:
+    """Return a console that doesn't wrap or crop lines unless it writes to a terminal."""
     return Console(soft_wrap=not sys.stdout.isatty(), highlight=False)
 
 
-def _cell(value: object) -> str:
+def _format_value(value: object) -> str:
     if value is None:
         return ""
     return json.dumps(value) if isinstance(value, bool | dict | list) else str(value)
--- a/src/beamloom/cli/simulate.py
+++ b/src/beamloom/cli/simulate.py
@@ -1,4 +1,4 @@
-"""`beamloom simulate`: one scenario on the virtual clock, judged by the oracle."""
+"""`beamloom simulate`: run one scenario on the virtual clock and check its invariants."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 def _check_scenario(_: type, name: str) -> None:
     if name not in SCENARIOS:
-        raise ValueError(f"no scenario {name!r}; give one of {', '.join(SCENARIOS)}")
+        raise ValueError(f"unknown scenario {name!r}; give one of {', '.join(SCENARIOS)}")
 
 
 def simulate(
@@ -41,10 +41,10 @@
     placement: Placement = Placement.HOME,
     output_format: Annotated[Literal["table", "json"], Parameter(name="--format")] = "table",
 ) -> int:
-    """Run a fleet through a scenario on a virtual clock and check what must always hold.
+    """Run a fleet through a scenario on a virtual clock and check its invariants.
 
-    The same seed gives the same run to the byte. The exit status is 1 when something that must
-    always hold was violated or a goal was missed.
+    The same options and seed give the same run. Exit status: 1 when an invariant was violated or a
+    goal was missed.
 
     Parameters
     ----------
@@ -53,17 +53,17 @@
         zone-loss, region-split, store-outage, lost-answer, racing-operators, paused-lease,
         lying-load, noisy-tenant, upgrade or storm.
     seed
-        Decides every random draw of the run.
+        Seed of all random draws of the run.
     nodes
-        How many balancers the fleet begins with.
+        Number of balancers at the start.
     flows
-        How many long flows are opened; single requests come besides.
+        Number of long flows; single requests are sent as well.
     duration
-        Virtual seconds; 0 takes the scenario's own duration.
+        Virtual seconds; 0 selects the scenario's default.
     placement
-        home is the product; rendezvous and modulo are baselines without shared state.
+        home is the product's placement; rendezvous and modulo are baselines without shared state.
     output_format
-        A table for people or one line of JSON for programs.
+        A table, or one line of JSON for programs.
 
     """
     options = RunOptions(
--- a/src/beamloom/cli/simulate_tokens.py
+++ b/src/beamloom/cli/simulate_tokens.py
@@ -1,4 +1,4 @@
-"""`beamloom simulate-tokens`: token nodes on the virtual clock under faults drawn by chance."""
+"""`beamloom simulate-tokens`: token nodes on the virtual clock under random faults."""
 
 from __future__ import annotations
 
@@ -32,30 +32,29 @@
     steady: bool = True,
     restores: Annotated[int, Parameter(validator=Number(gte=0, lte=MAXIMUM_FAULTS))] = 2,
 ) -> int:
-    """Simulate nodes that route by tokens, with faults drawn by chance, and judge what happens.
+    """Simulate nodes that route by tokens under random faults, and check the invariants.
 
-    The same seed gives the same run. The exit status is 1 when something that must always hold was
-    violated.
+    The same options and seed give the same run. Exit status: 1 when an invariant was violated.
 
     Parameters
     ----------
     seed
-        Decides every random draw; the first of `seeds` runs.
+        Seed of all random draws of the first run.
     seeds
-        How many runs, with seeds that follow one another.
+        Number of runs, with consecutive seeds.
     duration
         Virtual seconds of traffic.
     faults
-        How many faults strike.
+        Number of random faults per run, besides the restores.
     nodes
-        How many nodes the fleet begins with.
+        Number of nodes at the start.
     steady
-        Routers that move only the flows of a node that comes or goes; --no-steady: nearly all.
+        When a node joins or leaves, routers move only its flows; with --no-steady nearly all.
     restores
-        How often the store comes back from an older copy of itself.
+        Number of times that the store is restored from an older copy.
 
     """
-    table = Table("seed", "done", "other ends", "answers", "store calls", "violations")
+    table = Table("seed", "done", "other outcomes", "answers", "store calls", "violations")
     results = [
         (
             number,
@@ -69,7 +68,7 @@
     console.print(table)
     failed = [(number, result) for number, result in results if result.violations]
     for number, result in failed:
-        console.print(f"seed {number} struck: {', '.join(result.faults)}")
+        console.print(f"seed {number} faults: {', '.join(result.faults)}")
         for violation in result.violations[:SHOWN_VIOLATIONS]:
             console.print(f"  {violation.at:.2f} {violation.rule}: {violation.detail}")
     return ExitStatus.FAILED if failed else ExitStatus.SUCCESS
--- a/src/beamloom/cli/soak.py
+++ b/src/beamloom/cli/soak.py
@@ -1,4 +1,4 @@
-"""`beamloom soak`: real token nodes under faults drawn by chance."""
+"""`beamloom soak`: token node processes under random faults."""
 
 from __future__ import annotations
 
@@ -34,32 +34,33 @@
     folder: Path | None = None,
     only: tuple[str, ...] = (),
 ) -> ExitStatus:
-    """Run token nodes as processes, let faults strike, and check promises from outside.
+    """Run token nodes as processes, inject faults, and check the invariants from outside.
 
     The store, the proxies before it, endpoints, routers and clients are stand-ins on loopback
-    addresses. The seed decides which faults strike and when; how processes run is not repeated
-    exactly. Exit status 1: a promise was broken; the seed and the folder of logs are printed.
+    addresses. The seed decides which faults are injected and when; the scheduling of the processes
+    is not reproducible. Exit status: 1 when an invariant was violated; the seed and the folder of
+    logs are printed.
 
     Parameters
     ----------
     seed
-        Left out, a fresh one is drawn.
+        By default a random one.
     duration
         Seconds of traffic.
     nodes
-        How many nodes run.
+        Number of nodes.
     folder
-        Where settings and logs are kept; left out, a temporary folder that stays on failure.
+        Folder for settings and logs; by default a new temporary folder.
     only
-        Names of faults: no others strike, beside planned changes.
+        Kinds of faults to inject; planned changes are made as well.
 
     """
     seed = random.SystemRandom().getrandbits(32) if seed is None else seed
-    place = Path(tempfile.mkdtemp(prefix="beamloom-soak-")) if folder is None else folder
-    place.mkdir(parents=True, exist_ok=True)
-    options = SoakOptions(seed, duration, nodes, place, frozenset(only))
+    run_folder = Path(tempfile.mkdtemp(prefix="beamloom-soak-")) if folder is None else folder
+    run_folder.mkdir(parents=True, exist_ok=True)
+    options = SoakOptions(seed, duration, nodes, run_folder, frozenset(only))
     result = asyncio.run(run_soak(options))
-    _write(seed, place, result)
+    _write(seed, run_folder, result)
     return ExitStatus.FAILED if result.violations else ExitStatus.SUCCESS
 
 
@@ -67,14 +68,14 @@
     write_line(f"seed {seed}: {len(result.faults)} faults; flows: {_counts(result.flows)}")
     kinds = Counter(fault.split()[1] for fault in result.faults)
     write_line(f"kinds: {_counts(kinds)}")
-    write_line(f"judged: {_counts(result.counters)}")
+    write_line(f"checked: {_counts(result.counters)}")
     if not result.violations:
-        write_line("no promise was broken")
+        write_line("no violations")
         return
-    write_line(f"struck: {', '.join(result.faults)}")
+    write_line(f"faults: {', '.join(result.faults)}")
     for violation in result.violations[:SHOWN_VIOLATIONS]:
         write_line(f"{violation.at:.1f} {violation.rule}: {violation.detail}")
-    write_line(f"{len(result.violations)} broken in all; logs are in {folder}")
+    write_line(f"{len(result.violations)} violations in total; logs are in {folder}")
 
 
 def _counts(counter: Counter[str]) -> str:
--- a/tests/unit/test_cli.py
+++ b/tests/unit/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line fails with one line per error and the right exit status."""
+"""Errors of the command line: one line each, with the remedy and the right exit status."""
 
 import importlib.resources
 import io
@@ -24,7 +24,7 @@
 
 @mock.patch.dict("os.environ", clear=True)
 class CommandLineTest(unittest.TestCase):
-    def test_errors_take_one_line_and_name_the_remedy(self) -> None:
+    def test_error_is_one_line_with_the_remedy(self) -> None:
         for arguments, status, remedy in (
             (("chek", "x"), 2, 'Did you mean "check"?'),
             (("check",), 2, "FILE"),
@@ -47,12 +47,12 @@
                 self.assertIn(remedy, lines[0])
                 self.assertEqual(len(lines), 1)
 
-    def test_group_of_errors_takes_a_line_each(self) -> None:
+    def test_error_group_is_printed_one_line_per_error(self) -> None:
         group = ExceptionGroup("two", [OSError("one"), ExceptionGroup("in", [OSError("two")])])
         with mock.patch.object(commands.check, "check_file", side_effect=group):
             self.assertEqual(run("check", "x"), (1, "", "error: one\nerror: two\n"))
 
-    def test_fault_of_the_program_keeps_its_trace(self) -> None:
+    def test_unexpected_error_keeps_its_traceback(self) -> None:
         group = ExceptionGroup("mixed", [OSError("one"), ZeroDivisionError()])
         with (
             mock.patch.object(commands.check, "check_file", side_effect=group),
@@ -60,7 +60,7 @@
         ):
             run("check", "x")
 
-    def test_check_tells_all_faults(self) -> None:
+    def test_check_reports_all_faults(self) -> None:
         text = EXAMPLES.joinpath("node.toml").read_text()
         broken = text.replace("4096", '"4 KB"').replace("seeds", "seed")
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/unit/test_simulate_command.py
+++ b/tests/unit/test_simulate_command.py
@@ -1,3 +1,5 @@
+"""`beamloom simulate`: its JSON report, exit status and invalid arguments."""
+
 import io
 import json
 import unittest
@@ -24,7 +26,7 @@
         self.assertEqual((report["scenario"], report["seed"]), ("backend-drain", 3))
         self.assertEqual(status, 0 if report["passed"] else 1)
 
-    def test_wrong_arguments_are_refused_with_the_remedy(self) -> None:
+    def test_invalid_arguments_are_rejected(self) -> None:
         for tokens in (("gale",), ("steady", "--nodes", "0"), ("steady", "--placement", "best")):
             with self.assertRaises(CycloptsError) as caught:
                 _call(*tokens)
