--- a/src/beamloom/cli/check.py
+++ b/src/beamloom/cli/check.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckResult:
-    """Description of a file, and its faults.
+    """Description of a file, and its faults in the order of their lines.
 
     `platform_faults` are faults of token node settings and deploy files, without line numbers.
     """
--- a/src/beamloom/cli/errors.py
+++ b/src/beamloom/cli/errors.py
@@ -69,10 +69,10 @@
 
     def __init__(self, revision: int, seconds: float, missing: list[str]) -> None:
         names = ", ".join(missing[:5]) + (" and more" if len(missing) > 5 else "")
-        where = f"on {names}" if missing else "as far as this node can tell"
+        where = f"on {names}" if missing else "on every node"
         super().__init__(
             f"accepted at revision {revision}, but after {seconds:g} s not in force {where}: "
-            "the change stands; ask again with `beamloom status --revision`"
+            "the change stands; check again with `beamloom status --revision`"
         )
 
 
--- a/src/beamloom/cli/load.py
+++ b/src/beamloom/cli/load.py
@@ -29,8 +29,8 @@
 async def load(
     *,
     profile: Annotated[ProfileName, Parameter(help="The user whose mix of flows is generated.")],
-    rate: Annotated[float, POSITIVE, Parameter(help="New flows a second.")],
-    duration: Annotated[float, POSITIVE, Parameter(help="Seconds.")],
+    rate: Annotated[float, POSITIVE, Parameter(help="New flows per second.")],
+    duration: Annotated[float, POSITIVE, Parameter(help="Seconds during which flows are opened.")],
     fabric: Annotated[AddressText, Parameter(help="The fabric's client address.")],
     service: Annotated[
         tuple[str, ...],
--- a/src/beamloom/cli/run.py
+++ b/src/beamloom/cli/run.py
@@ -101,9 +101,11 @@
     service: Annotated[
         VirtualAddressText, Parameter(help="Virtual address that it serves: tcp://IP:PORT.")
     ],
-    address: Annotated[AddressText, Parameter(help="Packets from balancers (UDP).")] = ANY_ADDRESS,
+    address: Annotated[
+        AddressText, Parameter(help="Address for packets from balancers (UDP).")
+    ] = ANY_ADDRESS,
     health: Annotated[
-        AddressText, Parameter(help="Health, faults and drain (HTTP).")
+        AddressText, Parameter(help="Address of health, faults and drain (HTTP).")
     ] = ANY_ADDRESS,
     balancers: Annotated[
         tuple[AddressText, ...],
@@ -142,13 +144,13 @@
         Parameter(negative="", help="Data addresses to spread packets over."),
     ] = (),
     client_address: Annotated[
-        AddressText, Parameter(help="Packets of clients (UDP).")
+        AddressText, Parameter(help="Address for packets from clients (UDP).")
     ] = ANY_ADDRESS,
     balancer_address: Annotated[
-        AddressText, Parameter(help="Answers (UDP); a gateway.")
+        AddressText, Parameter(help="Address for answers (UDP); balancers use it as a gateway.")
     ] = ANY_ADDRESS,
     admin_address: Annotated[
-        AddressText, Parameter(help="GET and PUT /balancers (HTTP).")
+        AddressText, Parameter(help="Address of GET and PUT /balancers (HTTP).")
     ] = ANY_ADDRESS,
 ) -> None:
     """Run the network fabric's stand-in."""
--- a/src/beamloom/cli/soak.py
+++ b/src/beamloom/cli/soak.py
@@ -36,10 +36,10 @@
 ) -> ExitStatus:
     """Run token nodes as processes, inject faults, and check the invariants from outside.
 
-    The store, the proxies before it, endpoints, routers and clients are stand-ins on loopback
-    addresses. The seed decides which faults are injected and when; the scheduling of the processes
-    is not reproducible. Exit status: 1 when an invariant was violated; the seed and the folder of
-    logs are printed.
+    The store, the proxies in front of it, endpoints, routers and clients are stand-ins on loopback
+    addresses. Faults are drawn at random from the seed, but a run also depends on the timing of the
+    processes, so a seed does not reproduce it exactly. Exit status: 1 when an invariant was
+    violated; the seed and the folder of logs are printed.
 
     Parameters
     ----------
--- a/src/beamloom/cli/status.py
+++ b/src/beamloom/cli/status.py
@@ -54,7 +54,7 @@
     access: AdminAccess | None = None,
     output_format: FormatFlag = OutputFormat.TABLE,
 ) -> None:
-    """Show which backend a flow has, as this node knows, why, and which node decides it."""
+    """Show the backend that this node knows for a flow, the reason, and which node decides it."""
     parameters = {"client": client, "service": service, "protocol": protocol}
     answer = await make_admin_client(access).get("/v1/explain/flow", parameters)
     _write(answer, output_format)
