--- a/src/beamloom/simulation/__init__.py
+++ b/src/beamloom/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The deterministic simulator: virtual clock, faults, oracle, scenarios, reports."""
+"""Deterministic simulator: virtual clock, network and faults, scenarios, oracle and reports."""
--- a/src/beamloom/simulation/clock.py
+++ b/src/beamloom/simulation/clock.py
@@ -1,7 +1,7 @@
 """Virtual clock: simulated time in seconds, on a simpy environment.
 
-Callbacks that are due at the same instant run in the order in which they were scheduled, so a run
-depends on nothing but the calls made. docs/design/simulation.md tells why simpy was chosen.
+Callbacks that are due at the same time run in the order in which they were scheduled, so that runs
+are reproducible. docs/design/simulation.md explains the choice of simpy.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class ScheduledCall(Event):
-    """One call that the clock will make; a thin simpy event without a generator behind it."""
+    """A scheduled call: a simpy event without a process."""
 
     __slots__ = ("arguments", "function")
 
@@ -31,21 +31,21 @@
         self._value = None
         self.function: Callable[..., Any] | None = function
         self.arguments = arguments
-        self.callbacks.append(_make_call)
+        self.callbacks.append(_run_scheduled_call)
 
     def cancel(self) -> None:
-        """Make nothing happen when the time comes."""
+        """Prevent the call."""
         self.function = None
         self.arguments = ()
 
 
-def _make_call(scheduled: ScheduledCall) -> None:
+def _run_scheduled_call(scheduled: ScheduledCall) -> None:
     if scheduled.function is not None:
         scheduled.function(*scheduled.arguments)
 
 
 class VirtualClock:
-    """The one clock of a run, starting at zero."""
+    """The clock of a run; it starts at zero."""
 
     def __init__(self) -> None:
         self._environment = simpy.Environment()
@@ -66,18 +66,18 @@
     def call_at(
         self, time: float, function: Callable[[*Arguments], object], *arguments: *Arguments
     ) -> ScheduledCall:
-        """Call `function` at `time`, or at once when that has passed."""
+        """Call `function` at `time`, or as soon as possible if that has passed."""
         return self.call_later(time - self.now, function, *arguments)
 
     def run_until(self, time: float) -> None:
-        """Make every call that is due before `time`, then stand at `time`."""
+        """Make every call that is due before `time`, then set the clock to `time`."""
         self._environment.run(until=time)
 
 
 class LocalClock:
-    """A machine's own clock: it starts elsewhere and runs faster or slower than true time.
+    """The clock of one machine, with an offset and a rate relative to the virtual clock.
 
-    `rate` is local seconds per true second (1.0001 gains 0.1 ms a second).
+    `rate` is local seconds per second of the virtual clock (1.0001 gains 0.1 ms a second).
     """
 
     __slots__ = ("_clock", "_offset", "_rate")
@@ -89,15 +89,15 @@
 
     @property
     def now(self) -> float:
-        """What the machine believes the time to be, in seconds."""
+        """Local time in seconds."""
         return self._offset + self._clock.now * self._rate
 
     def delay_until(self, local_time: float) -> float:
-        """Return the true seconds from now until the local clock shows `local_time`."""
+        """Return the seconds of the virtual clock until the local clock shows `local_time`."""
         return (local_time - self.now) / self._rate
 
     def change_rate(self, rate: float) -> None:
-        """Drift at another rate from now on, without a jump."""
+        """Change the rate from now on; local time does not jump."""
         local = self.now
         self._rate = rate
         self._offset = local - self._clock.now * rate
--- a/src/beamloom/simulation/coroutines.py
+++ b/src/beamloom/simulation/coroutines.py
@@ -1,4 +1,4 @@
-"""Runs coroutines on the virtual clock, so that asyncio-free product code awaits virtual time."""
+"""Runs coroutines on the virtual clock, for product code that awaits but does not use asyncio."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Sleep:
-    """Awaiting this lets `seconds` of virtual time pass."""
+    """Awaitable that suspends a coroutine for `seconds` of virtual time."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
@@ -21,7 +21,7 @@
 
 
 async def sleep(seconds: float) -> None:
-    """Let `seconds` of virtual time pass."""
+    """Suspend the coroutine for `seconds` of virtual time."""
     await Sleep(seconds)
 
 
@@ -31,7 +31,7 @@
     succeeded: Callable[[Result], None],
     failed: Callable[[Exception], None],
 ) -> None:
-    """Run a coroutine that awaits nothing but `sleep`; one of the two callbacks ends it."""
+    """Run a coroutine that awaits only `sleep`; one of the two callbacks receives its outcome."""
 
     def step() -> None:
         try:
--- a/src/beamloom/simulation/hosts.py
+++ b/src/beamloom/simulation/hosts.py
@@ -1,4 +1,4 @@
-"""Simulated hosts: whether a machine runs, stands still, is slow or is gone."""
+"""Simulated hosts, which can be paused, slow or crashed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Host:
-    """One simulated machine; every event of its process goes through `deliver`."""
+    """One simulated machine; its process receives every event through `deliver`."""
 
     __slots__ = (
         "_busy_until",
@@ -42,7 +42,7 @@
         return (self.name, self.zone.name, self.zone.region)
 
     def deliver(self, function: Callable[[*Arguments], object], *arguments: *Arguments) -> None:
-        """Run an event of this host's process now, later when it is held up, never when dead."""
+        """Call `function` now, later if the host is paused or slow, or never if it does not run."""
         if not self.running:
             return
         if self.paused:
@@ -55,9 +55,9 @@
     def _deliver_slowly(self, function: Callable[..., Any], arguments: tuple[Any, ...]) -> None:
         start = max(self._clock.now, self._busy_until)
         self._busy_until = start + self.processing_seconds
-        self._clock.call_at(self._busy_until, self._run_if_able, function, arguments)
+        self._clock.call_at(self._busy_until, self._run_or_queue, function, arguments)
 
-    def _run_if_able(self, function: Callable[..., Any], arguments: tuple[Any, ...]) -> None:
+    def _run_or_queue(self, function: Callable[..., Any], arguments: tuple[Any, ...]) -> None:
         if not self.running:
             return
         if self.paused:
@@ -66,17 +66,17 @@
             function(*arguments)
 
     def pause(self) -> None:
-        """Stand still, as a process under SIGSTOP: its clock goes on, its events queue up."""
+        """Queue events until `resume`, as for a process under SIGSTOP; its clock continues."""
         self.paused = True
 
     def resume(self) -> None:
-        """Go on, beginning with everything that has queued up."""
+        """End the pause and process the queued events in order."""
         self.paused = False
         while self._queue and self.running and not self.paused:
             function, arguments = self._queue.popleft()
             function(*arguments)
 
     def crash(self) -> None:
-        """Stop for ever, losing everything."""
+        """Stop permanently and discard the queued events."""
         self.running = False
         self._queue.clear()
--- a/src/beamloom/simulation/measurements.py
+++ b/src/beamloom/simulation/measurements.py
@@ -1,4 +1,4 @@
-"""What a run is measured by: commands' digest, control bytes, configuration in force."""
+"""Measurements of a run: digest of commands and packets, control traffic, revisions in force."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from beamloom.simulation.clock import VirtualClock
 
 CONTROL_WINDOW = 10
-"""Seconds over which control traffic is averaged."""
+"""Length in seconds of the windows over which control traffic is averaged."""
 _TIME = struct.Struct("!d")
 
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """A node was seen to have a revision in force at a time."""
+    """The revision that a node had in force from `time` on."""
 
     node: str
     revision: int
@@ -27,13 +27,13 @@
 
 @dataclass(slots=True)
 class ControlTraffic:
-    """Control bytes of one node by whole second of the run."""
+    """Control bytes that one node sent, by whole second of the run."""
 
     started_at: float
     bytes_by_second: dict[int, int] = field(default_factory=dict)
 
     def windows(self, end: float) -> list[float]:
-        """Return bytes per second over each `CONTROL_WINDOW`, moved on by whole seconds."""
+        """Return the mean bytes per second of each `CONTROL_WINDOW`, sliding by one second."""
         first = int(self.started_at)
         seconds = [self.bytes_by_second.get(second, 0) for second in range(first, int(end))]
         if len(seconds) < CONTROL_WINDOW:
@@ -47,7 +47,7 @@
 
 
 class Measurements:
-    """Collected while the run goes on, read when it has ended."""
+    """Collects measurements during a run."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self._clock = clock
@@ -59,15 +59,15 @@
 
     @property
     def digest(self) -> str:
-        """Hash over all commands and forwarded packets of all nodes so far, with their times."""
+        """Hash of all commands and forwarded packets of all nodes so far, with their times."""
         return self._hash.hexdigest()
 
     def node_started(self, node: str) -> None:
-        """Begin to count a node's control traffic."""
+        """Start to count a node's control traffic."""
         self._control[node] = ControlTraffic(self._clock.now)
 
     def packet_sent(self, node: str, destination: SocketAddress, data: bytes) -> None:
-        """Note a packet that a core answered with a destination."""
+        """Count a forwarded packet and add it to the digest."""
         self.packets += 1
         update = self._hash.update
         update(_TIME.pack(self._clock.now))
@@ -75,7 +75,7 @@
         update(data)
 
     def command(self, node: str, command: Command) -> None:
-        """Note a command."""
+        """Add a command to the digest."""
         update = self._hash.update
         update(_TIME.pack(self._clock.now))
         update(f"{node}!{command!r}".encode())
@@ -87,7 +87,7 @@
         seconds[second] = seconds.get(second, 0) + size
 
     def configuration_in_force(self, node: str, revision: int) -> None:
-        """Note the revision that a node's status shows, whenever it changes."""
+        """Record the revision that a node has in force, if it changed."""
         if self._revisions.get(node) != revision:
             self._revisions[node] = revision
             self.in_force.append(InForce(node, revision, self._clock.now))
--- a/src/beamloom/simulation/network.py
+++ b/src/beamloom/simulation/network.py
@@ -1,4 +1,4 @@
-"""Simulated network: links with delay, loss, duplication, reordering and directed partitions."""
+"""Simulated network: datagrams with delay, loss, duplication, reordering and partitions."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 LOCAL_DELAY = 0.0002
 """One-way delay within a zone, in seconds."""
 CROSS_REGION_DELAY = 0.030
-"""One-way delay between zones that no link was declared for, in seconds."""
+"""One-way delay between zones without a declared link, in seconds."""
 REORDERING_DELAY = 0.010
-"""How much later, at most, a reordered datagram arrives, in seconds."""
+"""Maximum extra delay of a reordered datagram, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class PathCondition:
-    """Faults of a path; each is a share of datagrams from 0 to 1, `jitter` is in seconds."""
+    """Faults of a path: probabilities (0 to 1), maximum `jitter` and `extra_delay` in seconds."""
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -35,43 +35,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Block:
-    """A directed partition: nothing passes from hosts with `source` to hosts with `destination`.
+    """A directed partition: hosts with `source` cannot reach hosts with `destination`.
 
-    Both name a host, a zone or a region; the empty name stands for every other host.
+    Both are labels: the name of a host, a zone or a region. An empty label matches every host that
+    does not have the other label.
     """
 
     source: str
     destination: str
 
-    def stops(self, source: Host, destination: Host) -> bool:
-        """Whether this block lies between two hosts."""
+    def applies_between(self, source: Host, destination: Host) -> bool:
+        """Whether this partition blocks datagrams from `source` to `destination`."""
         if source is destination:
             return False
-        leaves = not self.source or self.source in source.labels
-        arrives = not self.destination or self.destination in destination.labels
+        source_matches = not self.source or self.source in source.labels
+        destination_matches = not self.destination or self.destination in destination.labels
         if not self.source:
-            return arrives and self.destination not in source.labels
+            return destination_matches and self.destination not in source.labels
         if not self.destination:
-            return leaves and self.source not in destination.labels
-        return leaves and arrives
+            return source_matches and self.source not in destination.labels
+        return source_matches and destination_matches
 
 
 @dataclass(frozen=True, slots=True)
 class _Path:
-    """What holds between two hosts, worked out once until a fault changes."""
+    """Properties of the path between two hosts, cached until a fault begins or ends.
+
+    `deterministic` means that the delay is fixed and no datagram is lost or duplicated at random.
+    """
 
     delay: float
     blocked: bool
     condition: PathCondition
-    faultless: bool
+    deterministic: bool
 
 
 class Network:
     """Carries datagrams between attached sockets."""
 
-    def __init__(self, clock: VirtualClock, links: Iterable[Link], stream: random.Random) -> None:
+    def __init__(self, clock: VirtualClock, links: Iterable[Link], rng: random.Random) -> None:
         self._clock = clock
-        self._random = stream
+        self._rng = rng
         self._links = {}
         for link in links:
             self._links[link.first_zone, link.second_zone] = link
@@ -83,17 +87,17 @@
         self.counters: Counter[str] = Counter()
 
     def attach(self, address: SocketAddress, host: Host, receiver: Receiver) -> None:
-        """Open a socket: datagrams for `address` go to `receiver` as events of `host`."""
+        """Open a socket: `host` runs `receiver` for each datagram to `address`."""
         self._sockets[address] = (host, receiver)
 
     def detach(self, address: SocketAddress) -> None:
-        """Close a socket; what is under way to it is lost."""
+        """Close a socket; datagrams in flight to it are lost."""
         self._sockets.pop(address, None)
 
     def send(
         self, sender: Host, source: SocketAddress, destination: SocketAddress, data: bytes
     ) -> None:
-        """Send one datagram; it arrives once, later, twice or never."""
+        """Send one datagram, subject to the faults of its path."""
         entry = self._sockets.get(destination)
         if entry is None:
             self.counters["unreachable"] += 1
@@ -101,7 +105,7 @@
         path = self._path(sender, entry[0])
         if path.blocked:
             self.counters["blocked"] += 1
-        elif path.faultless:
+        elif path.deterministic:
             self._clock.call_later(path.delay, self._arrive, destination, data, source)
         else:
             self._send_through_faults(path, source, destination, data)
@@ -110,7 +114,7 @@
         self, path: _Path, source: SocketAddress, destination: SocketAddress, data: bytes
     ) -> None:
         condition = path.condition
-        draw = self._random.random
+        draw = self._rng.random
         if draw() < condition.loss:
             self.counters["lost"] += 1
             return
@@ -132,18 +136,18 @@
         key = (source.name, destination.name)
         path = self._paths.get(key)
         if path is None:
-            path = self._paths[key] = self._work_out_path(source, destination)
+            path = self._paths[key] = self._compute_path(source, destination)
         return path
 
-    def _work_out_path(self, source: Host, destination: Host) -> _Path:
+    def _compute_path(self, source: Host, destination: Host) -> _Path:
         delay, link_loss = self._link_between(source, destination)
         condition = PathCondition(loss=link_loss)
         for label, declared in self._conditions:
             if not label or label in source.labels or label in destination.labels:
                 condition = _combine(condition, declared)
-        blocked = any(block.stops(source, destination) for block in self._blocks)
-        faultless = replace(condition, extra_delay=0.0) == PathCondition()
-        return _Path(delay + condition.extra_delay, blocked, condition, faultless)
+        blocked = any(block.applies_between(source, destination) for block in self._blocks)
+        deterministic = replace(condition, extra_delay=0.0) == PathCondition()
+        return _Path(delay + condition.extra_delay, blocked, condition, deterministic)
 
     def _link_between(self, source: Host, destination: Host) -> tuple[float, float]:
         if source.zone.name == destination.zone.name:
@@ -154,17 +158,20 @@
         return link.one_way_delay, link.loss
 
     def delay_between(self, source: Host, destination: Host) -> float | None:
-        """Return the one-way delay for a reliable exchange, or None where nothing passes."""
+        """Return the one-way delay, or None if the path is blocked or `destination` does not run.
+
+        Loss and jitter are not applied: callers use it for reliable connections.
+        """
         path = self._path(source, destination)
         return None if path.blocked or not destination.running else path.delay
 
     def add_condition(self, label: str, condition: PathCondition) -> None:
-        """Put faults on every path from or to hosts with `label` (empty: on all paths)."""
+        """Add faults to every path from or to hosts with `label` (empty: to all paths)."""
         self._conditions.append((label, condition))
         self._paths.clear()
 
     def remove_condition(self, label: str, condition: PathCondition) -> None:
-        """Take one such declaration back."""
+        """Remove faults that `add_condition` added."""
         self._conditions.remove((label, condition))
         self._paths.clear()
 
@@ -174,27 +181,27 @@
         self._paths.clear()
 
     def unblock(self, *blocks: Block) -> None:
-        """Heal directed partitions."""
+        """End directed partitions."""
         for block in blocks:
             self._blocks.remove(block)
         self._paths.clear()
 
 
 def split(first: str, second: str) -> tuple[Block, Block]:
-    """Return the two blocks that keep two groups of hosts apart in both directions."""
+    """Return the two blocks that partition two groups of hosts in both directions."""
     return Block(first, second), Block(second, first)
 
 
 def _combine(first: PathCondition, second: PathCondition) -> PathCondition:
-    """Return the condition of a path on which two independent faults lie."""
+    """Return the condition of a path with two independent conditions."""
     return PathCondition(
-        loss=_either(first.loss, second.loss),
-        duplication=_either(first.duplication, second.duplication),
-        reordering=_either(first.reordering, second.reordering),
+        loss=_probability_of_either(first.loss, second.loss),
+        duplication=_probability_of_either(first.duplication, second.duplication),
+        reordering=_probability_of_either(first.reordering, second.reordering),
         jitter=first.jitter + second.jitter,
         extra_delay=first.extra_delay + second.extra_delay,
     )
 
 
-def _either(first: float, second: float) -> float:
+def _probability_of_either(first: float, second: float) -> float:
     return 1.0 - (1.0 - first) * (1.0 - second)
--- a/src/beamloom/simulation/randomness.py
+++ b/src/beamloom/simulation/randomness.py
@@ -1,4 +1,4 @@
-"""Seeded randomness: one independent stream for each purpose, equal on every hash seed."""
+"""Seeded random generators, one for each purpose, independent of Python's hash seed."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 
 
 def random_stream(seed: int, *purpose: str) -> random.Random:
-    """Return a new generator for a named purpose; draws from one never shift another."""
+    """Return a new generator for a named purpose; draws from it do not affect other purposes."""
     return random.Random(derive_seed(seed, *purpose))
--- a/tests/unit/simulation/test_clock.py
+++ b/tests/unit/simulation/test_clock.py
@@ -6,11 +6,11 @@
 class VirtualClockTest(unittest.TestCase):
     def test_calls_run_in_order_of_time_and_then_of_scheduling(self) -> None:
         clock = VirtualClock()
-        made: list[tuple[str, float]] = []
+        calls: list[tuple[str, float]] = []
         for name, delay in (("third", 2.0), ("first", 1.0), ("second", 1.0)):
-            clock.call_later(delay, lambda name=name: made.append((name, clock.now)))
+            clock.call_later(delay, lambda name=name: calls.append((name, clock.now)))
         clock.run_until(5.0)
-        self.assertEqual(made, [("first", 1.0), ("second", 1.0), ("third", 2.0)])
+        self.assertEqual(calls, [("first", 1.0), ("second", 1.0), ("third", 2.0)])
         self.assertEqual(clock.now, 5.0)
 
     def test_cancelled_call_is_not_made(self) -> None:
@@ -18,17 +18,17 @@
         clock.call_later(1.0, self.fail).cancel()
         clock.run_until(2.0)
 
-    def test_past_time_means_at_once(self) -> None:
+    def test_call_at_past_time_is_made_at_once(self) -> None:
         clock = VirtualClock()
         clock.run_until(3.0)
-        made: list[float] = []
-        clock.call_at(1.0, lambda: made.append(clock.now))
+        calls: list[float] = []
+        clock.call_at(1.0, lambda: calls.append(clock.now))
         clock.run_until(4.0)
-        self.assertEqual(made, [3.0])
+        self.assertEqual(calls, [3.0])
 
 
 class LocalClockTest(unittest.TestCase):
-    def test_drift_changes_without_a_jump(self) -> None:
+    def test_change_of_rate_does_not_change_the_time(self) -> None:
         clock = VirtualClock()
         local = LocalClock(clock, offset=100.0, rate=1.5)
         clock.run_until(10.0)
--- a/tests/unit/simulation/test_network.py
+++ b/tests/unit/simulation/test_network.py
@@ -51,7 +51,7 @@
         self.clock.run_until(1.0)
         self.assertEqual(self.received, [("second", b"data", 0.0015)])
 
-    def test_loss_drops_its_share(self) -> None:
+    def test_loss_drops_the_given_share_of_datagrams(self) -> None:
         self.network.add_condition("", PathCondition(loss=0.1))
         arrived = self._send_many()
         self.assertEqual(len(arrived), DATAGRAMS - self.network.counters["lost"])
@@ -64,7 +64,7 @@
         self.assertEqual(len(arrived), DATAGRAMS + self.network.counters["duplicated"])
         self.assertGreater(self.network.counters["duplicated"], 60)
 
-    def test_reordering_overtakes_and_ends_with_the_fault(self) -> None:
+    def test_reordering_ends_when_the_condition_is_removed(self) -> None:
         condition = PathCondition(reordering=0.2)
         self.network.add_condition("second", condition)
         arrived = self._send_many()
@@ -73,7 +73,7 @@
         self.network.remove_condition("second", condition)
         self.assertEqual(self._send_many(), list(range(DATAGRAMS)))
 
-    def test_region_split_keeps_sides_apart_and_heals(self) -> None:
+    def test_partition_of_regions_blocks_both_directions_until_unblocked(self) -> None:
         blocks = split("suva", "nairobi")
         self.network.block(*blocks)
         self.assertFalse(self._reached(self.first, FIRST, THIRD))
@@ -82,19 +82,19 @@
         self.network.unblock(*blocks)
         self.assertTrue(self._reached(self.first, FIRST, THIRD))
 
-    def test_half_deaf_node_sends_but_does_not_hear(self) -> None:
+    def test_host_with_blocked_inbound_can_still_send(self) -> None:
         self.network.block(Block("", "second"))
         self.assertFalse(self._reached(self.first, FIRST, SECOND))
         self.assertTrue(self._reached(self.second, SECOND, FIRST))
 
-    def test_cut_off_zone_still_talks_inside(self) -> None:
-        neighbour = self._attach("fourth", Zone("west", "suva"), SocketAddress("10.0.0.4", 1))
+    def test_partitioned_zone_delivers_within_the_zone(self) -> None:
+        same_zone_host = self._attach("fourth", Zone("west", "suva"), SocketAddress("10.0.0.4", 1))
         self.network.block(*split("west", ""))
         self.assertFalse(self._reached(self.first, FIRST, SECOND))
         self.assertFalse(self._reached(self.second, SECOND, FIRST))
-        self.assertTrue(self._reached(neighbour, SocketAddress("10.0.0.4", 1), FIRST))
+        self.assertTrue(self._reached(same_zone_host, SocketAddress("10.0.0.4", 1), FIRST))
 
-    def test_paused_host_takes_everything_later_in_order(self) -> None:
+    def test_paused_host_handles_queued_datagrams_in_order_on_resume(self) -> None:
         self.second.pause()
         for number in range(3):
             self.network.send(self.first, FIRST, SECOND, bytes([number]))
@@ -111,7 +111,7 @@
         self.clock.run_until(5.0)
         self.assertEqual([time for _, _, time in self.received], [0.5015, 1.0015])
 
-    def test_crashed_host_takes_nothing_not_even_what_was_queued(self) -> None:
+    def test_crashed_host_drops_queued_and_later_datagrams(self) -> None:
         self.second.pause()
         self.network.send(self.first, FIRST, SECOND, b"queued")
         self.clock.run_until(1.0)
