--- a/src/beamloom/simulation/baselines.py
+++ b/src/beamloom/simulation/baselines.py
@@ -1,8 +1,7 @@
-"""Baseline cores to compare with: each node places flows alone and shares no state with others.
+"""Baseline cores for comparison: each node places flows by itself and shares no state.
 
 `modulo` is a hash modulo the number of active backends; `rendezvous` is highest-random-weight
-hashing (Thaler and Ravishankar 1998). Both read the store themselves and keep a local flow table,
-as a balancer without any agreement would.
+hashing (Thaler and Ravishankar 1998). Both read the store directly and keep a local flow table.
 """
 
 from __future__ import annotations
@@ -47,7 +46,7 @@
 
 
 def choose_by_modulo(flow: FlowTuple, backends: Sequence[Backend]) -> Backend:
-    """Return the backend at the flow's hash modulo their number."""
+    """Return the backend whose index is the flow's hash modulo the number of backends."""
     return backends[xxhash.xxh3_64_intdigest(flow.hash_input) % len(backends)]
 
 
@@ -61,7 +60,7 @@
 
 
 class BaselineCore:
-    """A balancer that agrees with no other; it takes the same calls as `node.NodeCore`."""
+    """A core that places flows without coordination, with the interface of `DecisionCore`."""
 
     def __init__(self, options: NodeOptions, choose: Choose) -> None:
         self.configuration = Configuration()
@@ -75,25 +74,25 @@
 
     @property
     def revision_in_force(self) -> int:
-        """The revision of the last change that was read."""
+        """The revision of the last change that was applied."""
         return self.configuration.revision
 
     def start(self, now: float) -> list[Command]:
-        """Begin by reading the store."""
+        """Return the command that lists the store."""
         return [ListStore(LIST_REQUEST)]
 
     def take_commands(self, now: float) -> list[Command]:
-        """Return nothing: packets give rise to no commands here."""
+        """Return no commands: packets produce none."""
         return []
 
     def next_timer(self) -> float | None:
-        """Return when the store is to be read again after a failure."""
+        """Return when to list the store again after a failure, or None."""
         return self._retry_at
 
     def packet_received(
         self, data: bytes, source: SocketAddress, from_peer: bool, now: float
     ) -> SocketAddress | None:
-        """Return the backend of a client's packet, or the gateway for a backend's answer."""
+        """Return the backend for a client's packet, the gateway for a backend's answer, or None."""
         try:
             flow = parse_packet(data).flow
         except PacketError:
@@ -122,7 +121,7 @@
         return chosen
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take an event; only those of the store, the timer and the planned stop matter."""
+        """Handle events of the store, the timer and the planned stop; ignore others."""
         match event:
             case StoreListed(_, revision, objects):
                 self._apply(sorted(objects, key=lambda item: item.revision))
@@ -158,7 +157,7 @@
 
 
 def core_factory(placement: Placement) -> CoreFactory:
-    """Return what makes the cores of a placement."""
+    """Return the factory of a placement's cores."""
     if placement is Placement.HOME:
         return product_core
     modulo = placement is Placement.MODULO
--- a/src/beamloom/simulation/hosts.py
+++ b/src/beamloom/simulation/hosts.py
@@ -48,11 +48,13 @@
         if self.paused:
             self._queue.append((function, arguments))
         elif self.processing_seconds > 0:
-            self._deliver_slowly(function, arguments)
+            self._deliver_after_processing(function, arguments)
         else:
             function(*arguments)
 
-    def _deliver_slowly(self, function: Callable[..., Any], arguments: tuple[Any, ...]) -> None:
+    def _deliver_after_processing(
+        self, function: Callable[..., Any], arguments: tuple[Any, ...]
+    ) -> None:
         start = max(self._clock.now, self._busy_until)
         self._busy_until = start + self.processing_seconds
         self._clock.call_at(self._busy_until, self._run_or_queue, function, arguments)
--- a/src/beamloom/simulation/report.py
+++ b/src/beamloom/simulation/report.py
@@ -1,4 +1,4 @@
-"""The result of a run, as JSON and as a table."""
+"""The result of a run, its JSON form and its table."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InForceSeconds:
-    """Seconds from acceptance until a revision was in force, over revisions and balancers."""
+    """Seconds from the acceptance of a revision until it was in force, for all balancers."""
 
     p50: float
     p99: float
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlBytesPerSecond:
-    """Control bytes that a balancer sent per second, over balancers and 10 s windows."""
+    """Control bytes per second that a balancer sent, over all balancers and 10 s windows."""
 
     median: float
     max: float
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulationResult:
-    """What a run showed; `imbalance` is the largest max/mean of open flows over backends.
+    """Result of a run; `imbalance` is the largest max/mean of open flows per backend of a service.
 
-    `imbalance_services` is how many services had enough open flows to be judged; where none had,
-    `imbalance` is 1.0 and says nothing.
+    `imbalance_services` is the number of services with enough open flows to compute it; if there
+    are none, `imbalance` is 1.0.
     """
 
     scenario: str
@@ -69,7 +69,7 @@
 
 
 def in_force_summary(seconds: Sequence[float]) -> InForceSeconds:
-    """Summarise times in force; all zero where nothing was accepted."""
+    """Return percentiles of the times; all zero if there are none."""
     if not seconds:
         return InForceSeconds(0.0, 0.0, 0.0)
     ordered = sorted(seconds)
@@ -78,7 +78,7 @@
 
 
 def control_summary(windows: Sequence[float]) -> ControlBytesPerSecond:
-    """Summarise control traffic; zero where no balancer ran."""
+    """Return median and maximum of the windows; zero if there are none."""
     if not windows:
         return ControlBytesPerSecond(0.0, 0.0)
     return ControlBytesPerSecond(round(median(windows), 1), round(max(windows), 1))
@@ -91,12 +91,12 @@
 
 def _imbalance_text(result: SimulationResult) -> str:
     if not result.imbalance_services:
-        return "not judged: no service had enough open flows"
+        return "not computed: no service had enough open flows"
     return f"{result.imbalance:.3f} over {result.imbalance_services} services"
 
 
 def to_table(result: SimulationResult) -> Table:
-    """Return the result as a table for people."""
+    """Return the result as a table."""
     table = Table(title=f"{result.scenario}, seed {result.seed}, {result.placement}")
     table.add_column("Measure")
     table.add_column("Value")
