--- a/src/beamloom/simulation/deployment.py
+++ b/src/beamloom/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""The deployments of the two users: their zones, delays, services and stored objects."""
+"""Simulated deployments of two users: zones, delays, services and stored objects."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceShape:
-    """A service of a site: how many backends it has and what may be done with its requests."""
+class ServiceSpec:
+    """A service of a site; requests to a `repeatable` one may be executed more than once."""
 
     tenant: str
     name: str
@@ -31,7 +31,7 @@
 
     @property
     def service_id(self) -> str:
-        """Return `tenant/name`."""
+        """The service's id, `tenant/name`."""
         return f"{self.tenant}/{self.name}"
 
     @property
@@ -42,17 +42,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """One user's region: zones, one-way delays in seconds, and the services exposed there.
+    """One user's region: zones, one-way delays in seconds, and services.
 
-    `preference` is what the user weighs more: `stickiness` or `balance`.
+    `network_number` is the second octet of the region's IP addresses; `preference` is the placement
+    preference of its tenants.
     """
 
     region: str
     zone_names: tuple[str, ...]
     zone_delay: float
     client_delay: float
-    number: int
-    services: tuple[ServiceShape, ...]
+    network_number: int
+    services: tuple[ServiceSpec, ...]
     preference: PlacementPreference = PlacementPreference.STICKINESS
 
     @property
@@ -62,23 +63,23 @@
 
     @property
     def client_zone(self) -> Zone:
-        """Where the clients and the fabric's edge are."""
+        """The zone of the clients and of the fabric's edge."""
         return Zone(f"clients-{self.region}", f"clients-{self.region}")
 
 
 @dataclass(frozen=True, slots=True)
-class BackendSite:
-    """Where one backend of a service listens."""
+class BackendLocation:
+    """The stored key, id, service, zone and addresses of one backend."""
 
     key: str
     backend_id: str
-    service: ServiceShape
+    service: ServiceSpec
     zone: Zone
     data_address: SocketAddress
     health_address: SocketAddress
 
-    def value(self, state: str = "active") -> dict[str, Any]:
-        """Return the stored object."""
+    def stored_value(self, state: str = "active") -> dict[str, Any]:
+        """Return the value of the backend's stored object."""
         return {
             "address": str(self.data_address),
             "health": str(self.health_address),
@@ -95,8 +96,8 @@
     0.001,
     1,
     (
-        ServiceShape("vakatale", "tracker", "198.51.100.1", 7, repeatable=False),
-        ServiceShape("vakatale", "labeller", "198.51.100.2", 3),
+        ServiceSpec("vakatale", "tracker", "198.51.100.1", 7, repeatable=False),
+        ServiceSpec("vakatale", "labeller", "198.51.100.2", 3),
     ),
 )
 TAIRI = Site(
@@ -106,20 +107,20 @@
     0.003,
     2,
     (
-        ServiceShape("tairi", "bay-desk", "203.0.113.1", 7, repeatable=False),
-        ServiceShape("tairi", "catalogue", "203.0.113.2", 3),
+        ServiceSpec("tairi", "bay-desk", "203.0.113.1", 7, repeatable=False),
+        ServiceSpec("tairi", "catalogue", "203.0.113.2", 3),
     ),
     PlacementPreference.BALANCE,
 )
 
 
-def backend_site(site: Site, service: ServiceShape, index: int) -> BackendSite:
-    """Return where backend `index` (from 1) of a service listens."""
+def backend_location(site: Site, service: ServiceSpec, index: int) -> BackendLocation:
+    """Return the location of backend `index` (from 1) of a service."""
     zone = site.zones[(index - 1) % len(site.zones)]
     service_index = site.services.index(service) + 1
-    host = f"10.{site.number}.{service_index + 100}.{index}"
+    host = f"10.{site.network_number}.{service_index + 100}.{index}"
     backend_id = f"{service.name}-{index}"
-    return BackendSite(
+    return BackendLocation(
         f"backend/{service.service_id}/{backend_id}",
         backend_id,
         service,
@@ -129,8 +130,8 @@
     )
 
 
-def links_of(sites: tuple[Site, ...]) -> Iterator[Link]:
-    """Yield the links within and between sites, to their clients and to the platform."""
+def site_links(sites: tuple[Site, ...]) -> Iterator[Link]:
+    """Yield the links between the zones of each site, to its clients and to the platform."""
     for site in sites:
         for first in site.zone_names:
             yield Link(first, site.client_zone.name, site.client_delay)
@@ -141,7 +142,7 @@
 
 
 def initial_objects(site: Site) -> Iterator[tuple[str, dict[str, Any]]]:
-    """Yield keys and values of the objects that the site's operators created, parents first."""
+    """Yield keys and values of a site's initial objects, parents before children."""
     for tenant in sorted({service.tenant for service in site.services}):
         yield f"tenant/{tenant}", {}
         values: dict[str, Any] = {"placement.prefer": site.preference.value}
@@ -159,5 +160,5 @@
         values = {} if service.repeatable else {"request.repeat": "never"}
         yield f"settings/service/{service.service_id}", {"values": values}
         for index in range(1, service.backend_count + 1):
-            placed = backend_site(site, service, index)
-            yield placed.key, placed.value()
+            placed = backend_location(site, service, index)
+            yield placed.key, placed.stored_value()
--- a/src/beamloom/simulation/node_adapter.py
+++ b/src/beamloom/simulation/node_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter round one decision core; see docs/design/core.md."""
+"""The simulator's adapter of one decision core; see docs/design/core.md."""
 
 from __future__ import annotations
 
@@ -37,36 +37,36 @@
 from beamloom.standins.platform_store import PlatformStore
 
 MINIMUM_TIMER_DELAY = 0.001
-"""Least true seconds between two expiries of a node's timer."""
+"""Minimum delay of a node's timer, in seconds of the virtual clock."""
 
 
 class DecisionCore(Protocol):
-    """What the adapter needs of `node.NodeCore` and of the baselines."""
+    """Interface of `node.NodeCore` and of the baselines that the adapter uses."""
 
     @property
     def revision_in_force(self) -> int:
-        """The revision up to which every change is in force."""
+        """The revision up to which all changes are in force."""
 
     def start(self, now: float) -> list[Command]:
-        """Begin."""
+        """Start the core and return its first commands."""
 
     def packet_received(
         self, data: bytes, source: SocketAddress, from_peer: bool, now: float
     ) -> SocketAddress | None:
-        """Return where to send a packet."""
+        """Return where to forward a packet, or None."""
 
     @property
     def has_commands(self) -> bool:
-        """Whether packets gave rise to commands."""
+        """Whether packets produced commands that `take_commands` returns."""
 
     def take_commands(self, now: float) -> list[Command]:
-        """Return and clear those commands."""
+        """Return and remove the commands that packets produced."""
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take an event."""
+        """Handle an event and return the resulting commands."""
 
     def next_timer(self) -> float | None:
-        """Return when `TimerExpired` is wanted."""
+        """Return the local time at which `TimerExpired` is due, or None."""
 
     @property
     def ready(self) -> bool:
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSurroundings:
-    """What a simulated node runs in; `check_backend` answers through the given callback."""
+    """Dependencies of a simulated node; `check_backend` passes its result to the callback."""
 
     clock: VirtualClock
     network: Network
@@ -84,7 +84,7 @@
 
 
 class SimulatedNode:
-    """Feeds one core with events on its machine's own clock and carries out its commands."""
+    """Passes events to one core, with its machine's local time, and executes its commands."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         self._measurements = surroundings.measurements
         self._timer: ScheduledCall | None = None
         self._timer_at: float | None = None
-        self._store: StoreLink | None = None
+        self._store_link: StoreLink | None = None
 
     @property
     def name(self) -> str:
@@ -113,18 +113,18 @@
         return self.machine.node_id
 
     @property
-    def serves(self) -> bool:
-        """Whether the fabric's health check would find this node fit for packets."""
+    def serving(self) -> bool:
+        """Whether the fabric's health check of this node passes."""
         running = self.host.running and not self.host.paused
         return running and not self.leaving and self.core.ready
 
     def start(self, store: PlatformStore, store_host: Host) -> None:
-        """Appear in the platform's list, open the sockets and start the core."""
+        """Register the machine with the platform, open the sockets and start the core."""
         machine = self.machine
         clock = self._surroundings.clock
         self._measurements.node_started(machine.node_id)
         store.machines.register(machine, clock.now)
-        self._store = StoreLink(
+        self._store_link = StoreLink(
             clock,
             self._network,
             store,
@@ -143,20 +143,20 @@
         self.host.deliver(self.handle, StopRequested())
 
     def crash(self) -> None:
-        """End at once, without a word."""
+        """Stop at once, without a planned stop."""
         self.host.crash()
         self._close()
 
     def handle(self, event: Event) -> None:
-        """Give the core one event."""
+        """Pass one event to the core, unless the node has stopped."""
         if not self.stopped:
             self._execute(self.core.handle(event, self.local_clock.now))
 
     def _close(self) -> None:
         self.stopped = True
-        if self._store is not None:
-            self._store.close()
-            self._store = None
+        if self._store_link is not None:
+            self._store_link.close()
+            self._store_link = None
         if self._timer is not None:
             self._timer.cancel()
         machine = self.machine
@@ -187,7 +187,7 @@
             self._execute_one(command)
         if not self.stopped:
             self._measurements.configuration_in_force(self.name, self.core.revision_in_force)
-            self._arm_timer()
+            self._schedule_timer()
 
     def _execute_one(self, command: Command) -> None:
         match command:
@@ -199,8 +199,8 @@
                 source = self.machine.control_address
                 self._network.send(self.host, source, destination, data)
             case ListStore() | WatchStore() | StopWatch() | ReadObject() | WriteObject():
-                if self._store is not None:
-                    self._store.execute(command)
+                if self._store_link is not None:
+                    self._store_link.execute(command)
             case CheckBackend():
                 self._surroundings.check_backend(self.host, command, self.handle)
             case RecordTransition():
@@ -209,7 +209,9 @@
                 self.host.running = False
                 self._close()
             case _:
-                raise TypeError(f"{type(command).__name__} is no command for an adapter")
+                raise TypeError(
+                    f"the adapter does not support the command {type(command).__name__}"
+                )
 
     def _address(self, local_socket: LocalSocket) -> SocketAddress:
         if local_socket is LocalSocket.DATA:
@@ -218,14 +220,14 @@
             return self.machine.peer_address
         return self.machine.control_address
 
-    def _arm_timer(self) -> None:
-        wanted = self.core.next_timer()
-        if wanted is None or (self._timer_at is not None and self._timer_at <= wanted):
+    def _schedule_timer(self) -> None:
+        due_at = self.core.next_timer()
+        if due_at is None or (self._timer_at is not None and self._timer_at <= due_at):
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer_at = wanted
-        delay = max(self.local_clock.delay_until(wanted), MINIMUM_TIMER_DELAY)
+        self._timer_at = due_at
+        delay = max(self.local_clock.delay_until(due_at), MINIMUM_TIMER_DELAY)
         clock = self._surroundings.clock
         self._timer = clock.call_later(delay, self.host.deliver, self._timer_expired)
 
@@ -234,8 +236,8 @@
         self._timer_at = None
         if self.stopped:
             return
-        wanted = self.core.next_timer()
-        if wanted is not None and wanted <= self.local_clock.now:
+        due_at = self.core.next_timer()
+        if due_at is not None and due_at <= self.local_clock.now:
             self.handle(TimerExpired())
         else:
-            self._arm_timer()
+            self._schedule_timer()
--- a/src/beamloom/simulation/observations.py
+++ b/src/beamloom/simulation/observations.py
@@ -1,6 +1,6 @@
-"""What clients, backends and operators saw in a run: all that the oracle goes by.
+"""Observations of clients, backends and operators in a run, which the oracle checks.
 
-Times are true seconds since the start of the run.
+Times are seconds of the virtual clock.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A stretch of time; one that has not ended is open to the future."""
+    """An interval of time, without an end by default."""
 
     start: float
     end: float = float("inf")
 
     def overlaps(self, start: float, end: float) -> bool:
-        """Whether the two stretches meet."""
+        """Whether the two closed intervals overlap."""
         return self.start <= end and start <= self.end
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedFlow:
-    """A client's flow; `request_id` names its one request, or is empty for a stream."""
+    """A client's flow; `request_id` is the id of its only request, or empty for a stream."""
 
     service_id: str
     truth: FlowTruth
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedBackend:
-    """A backend and what truly happened at it."""
+    """A backend and the record of what it received and executed."""
 
     backend_id: str
     service_id: str
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedStop:
-    """Operators stopped a balancer or drained a backend at a time."""
+    """Operators stopped a balancer or drained a backend (`subject`) at a time."""
 
     subject: str
     time: float
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedDrain:
-    """Operators were told that a backend is draining; `end` is when it was made active again."""
+    """A drain that the store accepted; `end` is when the backend became active again."""
 
     backend_id: str
     start: float
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedRevision:
-    """The store accepted an operator's write."""
+    """A write of an operator that the store accepted."""
 
     revision: int
     time: float
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RevisionInForce:
-    """The status of a balancer showed a revision, first at `time`."""
+    """The revision that a balancer had in force from `time` on."""
 
     node: str
     revision: int
@@ -78,8 +78,8 @@
 
 
 @dataclass(slots=True)
-class NodeLife:
-    """When a balancer served, and when it stood still, was cut off or slow."""
+class NodeLifetime:
+    """When a balancer served, and when it was paused, slow or partitioned."""
 
     node: str
     serving_from: float | None = None
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class Observations:
-    """Everything that was seen; `faults` are the unplanned ones, `outages` those of the store."""
+    """All observations of a run; `faults` are unplanned, `outages` are those of the store."""
 
     flows: list[ObservedFlow] = field(default_factory=list)
     backends: list[ObservedBackend] = field(default_factory=list)
@@ -97,37 +97,40 @@
     drains: list[AcceptedDrain] = field(default_factory=list)
     accepted: list[AcceptedRevision] = field(default_factory=list)
     in_force: list[RevisionInForce] = field(default_factory=list)
-    nodes: dict[str, NodeLife] = field(default_factory=dict)
+    nodes: dict[str, NodeLifetime] = field(default_factory=dict)
     faults: list[Interval] = field(default_factory=list)
     outages: list[Interval] = field(default_factory=list)
     ended_at: float = 0.0
 
-    def life(self, node: str) -> NodeLife:
-        """Return the record of a balancer, a new one where there is none."""
-        return self.nodes.setdefault(node, NodeLife(node))
+    def lifetime(self, node: str) -> NodeLifetime:
+        """Return the lifetime of a balancer; it is created on first use."""
+        return self.nodes.setdefault(node, NodeLifetime(node))
 
     def runs(self) -> dict[str, list[float]]:
-        """Return, by request, the times at which any backend began to run it."""
+        """Return the start times of each request's executions, on any backend, by request id."""
         runs: dict[str, list[float]] = {}
         for backend in self.backends:
             for request_id, times in backend.truth.runs.items():
                 runs.setdefault(request_id, []).extend(times)
         return runs
 
-    def in_force_times(self) -> Iterator[tuple[AcceptedRevision, NodeLife, float | None]]:
-        """Yield for each accepted revision and serving node when the node first had it."""
-        first_seen: dict[str, list[RevisionInForce]] = {}
-        for seen in self.in_force:
-            first_seen.setdefault(seen.node, []).append(seen)
+    def in_force_times(self) -> Iterator[tuple[AcceptedRevision, NodeLifetime, float | None]]:
+        """Yield when each node had each revision in force that was accepted while the node served.
+
+        The time is None if the node never had it, or a later one, in force.
+        """
+        by_node: dict[str, list[RevisionInForce]] = {}
+        for entry in self.in_force:
+            by_node.setdefault(entry.node, []).append(entry)
         for accepted in self.accepted:
-            for life in self.nodes.values():
-                if life.serving_from is None or life.serving_from > accepted.time:
+            for lifetime in self.nodes.values():
+                if lifetime.serving_from is None or lifetime.serving_from > accepted.time:
                     continue
-                if life.ended_at <= accepted.time:
+                if lifetime.ended_at <= accepted.time:
                     continue
-                seen_by_node = first_seen.get(life.node, [])
-                yield accepted, life, _first_with(seen_by_node, accepted.revision)
+                entries = by_node.get(lifetime.node, [])
+                yield accepted, lifetime, _first_with(entries, accepted.revision)
 
 
-def _first_with(seen: list[RevisionInForce], revision: int) -> float | None:
-    return next((entry.time for entry in seen if entry.revision >= revision), None)
+def _first_with(entries: list[RevisionInForce], revision: int) -> float | None:
+    return next((entry.time for entry in entries if entry.revision >= revision), None)
--- a/src/beamloom/simulation/operators.py
+++ b/src/beamloom/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: the product's own writer over a client of the simulated store."""
+"""Simulated operators: the product's writer with a client of the simulated store."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 
 
 class SimulatedStoreClient:
-    """An object client whose requests take virtual time and meet the store's faults."""
+    """An object client whose requests take virtual time and are subject to the store's faults."""
 
     def __init__(self, store: PlatformStore) -> None:
         self._store = store
 
     async def list_objects(self, prefix: str = "") -> ObjectListing:
         """Read every object under a prefix."""
-        await self._travel(is_write=False)
+        await self._simulate_request(is_write=False)
         return self._store.list_objects(prefix)
 
     async def read(self, key: str) -> ObjectReading:
         """Read one object."""
-        await self._travel(is_write=False)
+        await self._simulate_request(is_write=False)
         return self._store.read(key)
 
     async def write(self, key: str, value: Value | None, expected_revision: int) -> int:
-        """Write one object if its revision is as expected."""
-        lost = await self._travel(is_write=True)
+        """Write one object if it has the expected revision."""
+        lost = await self._simulate_request(is_write=True)
         stored = self._store.write(key, value, expected_revision)
         if lost:
             raise OutcomeUnknownError("injected fault")
         return stored.revision
 
     async def watch(self, revision: int, prefix: str = "") -> AsyncGenerator[ChangeBatch, None]:
-        """Yield the changes after `revision`, first those that there are already."""
-        await self._travel(is_write=False)
+        """Yield batches of the changes after `revision`, past ones included."""
+        await self._simulate_request(is_write=False)
         watch = self._store.open_watch(revision, prefix)
         try:
             while True:
@@ -53,8 +53,11 @@
         finally:
             self._store.close_watch(watch)
 
-    async def _travel(self, *, is_write: bool) -> bool:
-        """Let a request's time pass; returns whether its answer gets lost."""
+    async def _simulate_request(self, *, is_write: bool) -> bool:
+        """Wait for the time of a request and return whether its answer is lost.
+
+        Raises StoreUnavailableError if the store is down.
+        """
         await sleep(2 * PLATFORM_DELAY)
         decision = self._store.faults.decide(is_write=is_write)
         if decision.unavailable:
@@ -64,14 +67,14 @@
 
 
 class Operators:
-    """Runs operators' writes; every outcome is kept."""
+    """Executes operators' writes and keeps their outcomes in `accepted` and `failed`."""
 
-    def __init__(self, clock: VirtualClock, store: PlatformStore, chance: random.Random) -> None:
+    def __init__(self, clock: VirtualClock, store: PlatformStore, rng: random.Random) -> None:
         self._clock = clock
         client = SimulatedStoreClient(store)
-        self.writer = OperatorWriter(client, chance, Retrier(RetryPolicy(), chance, sleep))
+        self.writer = OperatorWriter(client, rng, Retrier(RetryPolicy(), rng, sleep))
         self.accepted: list[AcceptedWrite] = []
-        self.refused: list[PlatformError] = []
+        self.failed: list[PlatformError] = []
 
     def create(self, key: str, value: Value) -> None:
         """Create an object."""
@@ -83,7 +86,7 @@
         change: Callable[[Value], Value],
         accepted: Callable[[AcceptedWrite], None] | None = None,
     ) -> None:
-        """Change an object; `accepted` is called once the operator knows that it took effect."""
+        """Change an object; `accepted` is called when the writer reports that it took effect."""
         self._run(self.writer.update_object(key, change), accepted)
 
     def _run(
@@ -99,6 +102,6 @@
         def fail(error: Exception) -> None:
             if not isinstance(error, PlatformError):
                 raise error
-            self.refused.append(error)
+            self.failed.append(error)
 
         run_coroutine(self._clock, coroutine, succeed, fail)
--- a/src/beamloom/simulation/scenario.py
+++ b/src/beamloom/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""What a scenario is: a schedule of operations and faults, and the goals of the run."""
+"""Scenarios: a schedule of operations and faults, and the goals of the run."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ScenarioContext:
-    """What a schedule can act on."""
+    """The parts of a run that a schedule uses; `duration` is in seconds."""
 
     fleet: Fleet
     operations: Operations
     faults: FaultInjector
     workload: Workload
     duration: float
-    random: random.Random
+    rng: random.Random
 
-    def at(self, share: float, act: Callable[[], object]) -> None:
-        """Call `act` when `share` (0 to 1) of the run's duration has passed."""
-        self.fleet.clock.call_at(share * self.duration, act)
+    def at(self, share: float, action: Callable[[], object]) -> None:
+        """Call `action` when `share` (0 to 1) of the run's duration has passed."""
+        self.fleet.clock.call_at(share * self.duration, action)
 
-    def any_node(self) -> str:
-        """Draw the name of a balancer that runs and is not leaving."""
-        return self.random.choice(self.fleet.running_nodes()).name
+    def random_node(self) -> str:
+        """Return the name of a random balancer that runs and is not leaving."""
+        return self.rng.choice(self.fleet.running_nodes()).name
 
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """A figure that the run must reach; `met` looks at the result."""
+    """A condition that the result of a run must satisfy."""
 
     name: str
     met: Callable[[SimulationResult], bool]
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One named scenario; `duration` is the default one, in seconds."""
+    """A named scenario; `duration` is its default duration in seconds."""
 
     name: str
     summary: str
@@ -55,16 +55,16 @@
 
 
 def broken_share_at_most(share: float) -> Goal:
-    """Return the goal that at most a share of the flows breaks."""
+    """Return the goal that at most `share` of the flows are broken."""
     return Goal(
         f"broken flows <= {share:.2%}", lambda result: result.broken_flows <= share * result.flows
     )
 
 
 def imbalance_at_most(limit: float) -> Goal:
-    """Return the goal that no backend holds more than `limit` times the mean of its service.
+    """Return the goal that no backend has more than `limit` times its service's mean of open flows.
 
-    A run in which no service had enough open flows to be judged misses it.
+    The goal is missed if no service had enough open flows for the figure to be computed.
     """
     return Goal(
         f"imbalance <= {limit:.2f}",
--- a/src/beamloom/simulation/scenarios/failures.py
+++ b/src/beamloom/simulation/scenarios/failures.py
@@ -1,4 +1,4 @@
-"""Scenarios in which machines end without a word or lose each other."""
+"""Scenarios with crashes and network partitions."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 CRASH_GOALS = (broken_share_at_most(0.0001), CONTROL_BUDGET)
 
 
-def _crash_any_node(context: ScenarioContext) -> None:
-    context.faults.crash_node(context.any_node())
+def _crash_random_node(context: ScenarioContext) -> None:
+    context.faults.crash_node(context.random_node())
 
 
 def _balancer_crash(context: ScenarioContext) -> None:
@@ -26,21 +26,21 @@
     context.fleet.clock.call_at(
         0.4 * context.duration + 1.0, partial(context.operations.drain_backend, "tracker-2")
     )
-    context.fleet.clock.call_at(0.4 * context.duration + 1.5, partial(_crash_any_node, context))
+    context.fleet.clock.call_at(0.4 * context.duration + 1.5, partial(_crash_random_node, context))
 
 
 def _double_crash(context: ScenarioContext) -> None:
     context.at(0.3, partial(context.operations.drain_backend, "tracker-2"))
     for _ in range(2):
-        context.at(0.4, partial(_crash_any_node, context))
+        context.at(0.4, partial(_crash_random_node, context))
     context.at(0.5, context.operations.start_node)
     context.at(0.55, context.operations.start_node)
 
 
 def _zone_loss(context: ScenarioContext) -> None:
-    zone = context.random.choice(VAKATALE.zone_names)
+    zone = context.rng.choice(VAKATALE.zone_names)
     context.at(0.3, partial(context.operations.drain_backend, "tracker-2"))
-    context.at(0.4, partial(context.faults.lose_zone, zone))
+    context.at(0.4, partial(context.faults.crash_zone, zone))
 
 
 def _region_split(context: ScenarioContext) -> None:
@@ -68,7 +68,7 @@
 )
 REGION_SPLIT = Scenario(
     "region-split",
-    "Two regions lose each other, and one of them the platform, for a third of the run.",
+    "Two regions are partitioned, one of them also from the platform, for 30% of the run.",
     _region_split,
     (NO_BROKEN_FLOW, CONTROL_BUDGET),
     sites=(VAKATALE, TAIRI),
--- a/src/beamloom/simulation/scenarios/load.py
+++ b/src/beamloom/simulation/scenarios/load.py
@@ -1,4 +1,4 @@
-"""Scenarios about load: cold backends, false reports, and a tenant out of bounds."""
+"""Scenarios of load: cold backends, false load reports and a tenant above its limit."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from beamloom.standins.backend_health import HealthFaults
 
 TRACKER = VAKATALE.services[0]
-LIMIT = "limit.new_flows_per_second"
+RATE_LIMIT_SETTING = "limit.new_flows_per_second"
 COLD_SECONDS = 30.0
 LATE_STREAMS = 210
-"""Long flows that open in `lying-load` once reports have had their effect on weights."""
-HONEST_LOAD = 0.9
-"""What honest backends report in `lying-load`, as a share of their slots."""
+"""Streams that are opened in `lying-load` after load reports have changed the weights."""
+BUSY_LOAD = 0.9
+"""Load that the other backends report in `lying-load`, as a share of their slots."""
 NOISY_FLOWS_PER_SECOND = 50
 NOISY_SECONDS = 30
 
@@ -32,17 +32,17 @@
 
 
 def _lying_load(context: ScenarioContext) -> None:
-    """Freeze one report at idle and let another claim it, while honest ones tell of real load.
+    """Make one backend report a frozen load, one report no load and the others `BUSY_LOAD`.
 
-    The simulated requests hardly load a backend, so what honest reports would say is given.
+    The load of the others is injected, as the simulated requests use little capacity.
     """
     frozen = HealthFaults(frozen=True)
     idle = HealthFaults(load=0.0)
-    busy = HealthFaults(load=HONEST_LOAD)
+    busy = HealthFaults(load=BUSY_LOAD)
     for index in range(3, TRACKER.backend_count + 1):
-        context.at(0.0, partial(context.faults.mislead_health, f"tracker-{index}", busy))
-    context.at(0.0, partial(context.faults.mislead_health, "tracker-1", frozen))
-    context.at(0.0, partial(context.faults.mislead_health, "tracker-2", idle))
+        context.at(0.0, partial(context.faults.inject_health_faults, f"tracker-{index}", busy))
+    context.at(0.0, partial(context.faults.inject_health_faults, "tracker-1", frozen))
+    context.at(0.0, partial(context.faults.inject_health_faults, "tracker-2", idle))
     edge, service = context.workload.target("vakatale")
     for number in range(LATE_STREAMS):
         share = 0.4 + 0.5 * number / LATE_STREAMS
@@ -50,8 +50,8 @@
 
 
 def _noisy_tenant(context: ScenarioContext) -> None:
-    limit = (LIMIT, NOISY_FLOWS_PER_SECOND / 10)
-    context.at(0.1, partial(context.operations.change_setting, "tenant/tairi", *limit))
+    setting = (RATE_LIMIT_SETTING, NOISY_FLOWS_PER_SECOND / 10)
+    context.at(0.1, partial(context.operations.change_setting, "tenant/tairi", *setting))
     edge, service = context.workload.target("tairi")
     start = 0.3 * context.duration
     for number in range(NOISY_FLOWS_PER_SECOND * NOISY_SECONDS):
@@ -64,13 +64,13 @@
 )
 LYING_LOAD = Scenario(
     "lying-load",
-    "Two of seven backends report a frozen and a false load.",
+    "One of seven backends reports a frozen load, another a false one.",
     _lying_load,
     (NO_BROKEN_FLOW, imbalance_at_most(1.25), CONTROL_BUDGET),
 )
 NOISY_TENANT = Scenario(
     "noisy-tenant",
-    "One tenant opens ten times the flows that it may.",
+    "One tenant opens flows at ten times its limit.",
     _noisy_tenant,
     (NO_BROKEN_FLOW, CONTROL_BUDGET),
     sites=(VAKATALE, TAIRI),
--- a/src/beamloom/simulation/scenarios/planned.py
+++ b/src/beamloom/simulation/scenarios/planned.py
@@ -1,4 +1,4 @@
-"""Scenarios in which nothing fails: operators change the fleet on purpose."""
+"""Scenarios without faults: operators change settings, backends and balancers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 TRACKER = VAKATALE.services[0]
 SETTING = "placement.imbalance_bound"
 UNKNOWN_KIND = 60_000
-"""The kind number of a message that this version does not know."""
+"""Kind number that no message of this version has."""
 
 
 def _steady(context: ScenarioContext) -> None:
@@ -50,11 +50,11 @@
 def _upgrade(context: ScenarioContext) -> None:
     _replace_every_node(context)
     for index in range(20):
-        context.at(0.2 + 0.035 * index, partial(_send_newer_message, context, index))
+        context.at(0.2 + 0.035 * index, partial(_send_unknown_message, context, index))
 
 
-def _send_newer_message(context: ScenarioContext, sequence: int) -> None:
-    """Send each balancer a message that only a newer version knows."""
+def _send_unknown_message(context: ScenarioContext, sequence: int) -> None:
+    """Send a message of an unknown kind from the newest balancer to all others."""
     milliseconds = int(context.fleet.clock.now * 1000)
     nodes = context.fleet.running_nodes()
     sender = nodes[-1]
@@ -81,13 +81,13 @@
 )
 BACKEND_DRAIN = Scenario(
     "backend-drain",
-    "Two backends drain; their flows go on and no new one comes after 3 s.",
+    "Two backends drain; their flows continue, and none is opened there after 3 s.",
     _backend_drain,
     (NO_BROKEN_FLOW, CONTROL_BUDGET),
 )
 UPGRADE = Scenario(
     "upgrade",
-    "Every balancer is replaced by a newer one that sends messages the older ones do not know.",
+    "Every balancer is replaced; meanwhile the newest sends messages of an unknown kind.",
     _upgrade,
     (NO_BROKEN_FLOW, CONTROL_BUDGET),
     duration=240.0,
--- a/src/beamloom/simulation/scenarios/platform.py
+++ b/src/beamloom/simulation/scenarios/platform.py
@@ -1,4 +1,4 @@
-"""Scenarios in which the platform's store fails its clients, or operators race."""
+"""Scenarios with faults of the platform's store, concurrent writes or a paused lease holder."""
 
 from __future__ import annotations
 
@@ -53,14 +53,14 @@
 
 
 def _pause_reader(context: ScenarioContext, duration: float) -> None:
-    """Pause a balancer that holds a lease, or any one where none does."""
+    """Pause a random balancer that holds a lease, or any balancer if none does."""
     leases = context.fleet.store.list_objects(LEASE_PREFIX).objects
-    holders = [name for name in map(_holder, leases) if name in context.fleet.nodes]
-    name = context.random.choice(holders) if holders else context.any_node()
+    holders = [name for name in map(_lease_holder, leases) if name in context.fleet.nodes]
+    name = context.rng.choice(holders) if holders else context.random_node()
     context.faults.pause_node(name, duration)
 
 
-def _holder(lease: StoredObject) -> str:
+def _lease_holder(lease: StoredObject) -> str:
     return str((lease.value or {}).get("holder", ""))
 
 
@@ -72,11 +72,20 @@
     duration=180.0,
 )
 LOST_ANSWER = Scenario(
-    "lost-answer", "Half of the writes take effect without an answer.", _lost_answer, GOALS
+    "lost-answer",
+    "The answers to half of the writes are lost, for 60% of the run.",
+    _lost_answer,
+    GOALS,
 )
 RACING_OPERATORS = Scenario(
-    "racing-operators", "Three operators change one setting at once.", _racing_operators, GOALS
+    "racing-operators",
+    "Three operators change one setting at the same time.",
+    _racing_operators,
+    GOALS,
 )
 PAUSED_LEASE = Scenario(
-    "paused-lease", "A lease holder stands still past its lease, unaware.", _paused_lease, GOALS
+    "paused-lease",
+    "A balancer that holds a lease is paused for 30% of the run.",
+    _paused_lease,
+    GOALS,
 )
--- a/src/beamloom/simulation/simulation.py
+++ b/src/beamloom/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""One run of one scenario, from its options to its result."""
+"""Runs one scenario and computes its result."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     RevisionInForce,
 )
 from beamloom.simulation.operations import Operations
-from beamloom.simulation.oracle import Violation, judge
+from beamloom.simulation.oracle import Violation, find_violations
 from beamloom.simulation.report import (
     GoalOutcome,
     SimulationResult,
@@ -25,19 +25,19 @@
 from beamloom.simulation.workload import Workload, WorkloadOptions
 from beamloom.standins.client_model import Outcome
 
-STATUS_SECONDS = 0.5
-"""How often operators look at which balancers serve."""
+STATUS_POLL_SECONDS = 0.5
+"""Interval at which it is recorded which balancers serve."""
 SETTLE_SECONDS = 10.0
-"""How long the run goes on after its duration, so that what is in progress can end."""
+"""Seconds that a run continues after its duration, to let requests in progress end."""
 REQUESTS_PER_FLOW = 0.01
-"""Single requests per second for each long flow, up to `MAXIMUM_REQUESTS_PER_SECOND`."""
+"""Single requests per second for each stream, up to `MAXIMUM_REQUESTS_PER_SECOND` in all."""
 MAXIMUM_REQUESTS_PER_SECOND = 10.0
 UPDATE_INTERVALS = (10.0, 30.0)
-"""Shortest and longest time between two updates of one long flow, in seconds."""
+"""Minimum and maximum interval between the updates of one stream, in seconds."""
 UPDATES_PER_SECOND = 50.0
-"""Updates of all long flows together, as far as the intervals allow: large fleets update less."""
+"""Target rate of the updates of all streams together, within the limits of the interval."""
 MINIMUM_MEAN_FLOWS = 5.0
-"""Open flows per backend below which a service's imbalance says nothing."""
+"""Mean of open flows per backend below which no imbalance is computed for a service."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,13 +55,13 @@
 
 
 class Simulation:
-    """Joins a fleet, its traffic, a scenario and what is observed of them."""
+    """A fleet with its traffic, its scenario and the observations of the run."""
 
     def __init__(self, scenario: Scenario, options: RunOptions) -> None:
         self.scenario = scenario
         self.options = options
         self.duration = options.duration or scenario.duration
-        self.seen = Observations()
+        self.observations = Observations()
         self.fleet = Fleet(
             FleetOptions(
                 options.seed,
@@ -72,20 +72,20 @@
             )
         )
         self._known_revision = self.fleet.store.revision
-        self._observe_fleet()
-        faults = FaultInjector(self.fleet, self.seen)
+        self._start_observing()
+        faults = FaultInjector(self.fleet, self.observations)
         self._crashed_backends = faults.crashed_backends
         self.context = ScenarioContext(
             self.fleet,
-            Operations(self.fleet, self.seen),
+            Operations(self.fleet, self.observations),
             faults,
-            self._workload(),
+            self._create_workload(),
             self.duration,
-            self.fleet.random("scenario", scenario.name),
+            self.fleet.new_rng("scenario", scenario.name),
         )
         scenario.schedule(self.context)
 
-    def _workload(self) -> Workload:
+    def _create_workload(self) -> Workload:
         flows = self.options.flows
         rate = min(flows * REQUESTS_PER_FLOW, MAXIMUM_REQUESTS_PER_SECOND)
         shortest, longest = UPDATE_INTERVALS
@@ -96,54 +96,56 @@
             duration=self.duration,
         )
         edges = list(self.fleet.edges.values())
-        chance = self.fleet.random("workload")
-        return Workload(self.fleet.clock, edges, options, chance, self.seen.flows.append)
+        rng = self.fleet.new_rng("workload")
+        return Workload(self.fleet.clock, edges, options, rng, self.observations.flows.append)
 
-    def _observe_fleet(self) -> None:
+    def _start_observing(self) -> None:
         for backend_id, backend in self.fleet.backends.items():
             service_id = backend.placed.service.service_id
-            self.seen.backends.append(ObservedBackend(backend_id, service_id, backend.model.truth))
+            self.observations.backends.append(
+                ObservedBackend(backend_id, service_id, backend.model.truth)
+            )
         self.fleet.store.add_listener(self._store_changed)
-        self._look_at_nodes()
+        self._record_serving_nodes()
 
     def _store_changed(self) -> None:
-        """Note what operators wrote; leases of balancers are no operator's business."""
+        """Record what operators wrote; balancers' leases, the keys in `lease/`, are skipped."""
         now = self.fleet.clock.now
         for stored in self.fleet.store.list_objects().objects:
             if stored.revision > self._known_revision and not stored.key.startswith("lease/"):
-                self.seen.accepted.append(AcceptedRevision(stored.revision, now))
+                self.observations.accepted.append(AcceptedRevision(stored.revision, now))
         self._known_revision = self.fleet.store.revision
 
-    def _look_at_nodes(self) -> None:
+    def _record_serving_nodes(self) -> None:
         for name, node in self.fleet.nodes.items():
-            life = self.seen.life(name)
-            if life.serving_from is None and node.serves:
-                life.serving_from = self.fleet.clock.now
-        self.fleet.clock.call_later(STATUS_SECONDS, self._look_at_nodes)
+            lifetime = self.observations.lifetime(name)
+            if lifetime.serving_from is None and node.serving:
+                lifetime.serving_from = self.fleet.clock.now
+        self.fleet.clock.call_later(STATUS_POLL_SECONDS, self._record_serving_nodes)
 
     def run(self) -> SimulationResult:
-        """Run to the end and judge what was seen."""
+        """Run to the end and return the result."""
         self.fleet.clock.run_until(self.duration)
         imbalances = self._imbalances()
         self.fleet.clock.run_until(self.duration + SETTLE_SECONDS)
-        return self._result(imbalances)
+        return self._build_result(imbalances)
 
     def violations(self) -> list[Violation]:
-        """Judge what was seen until now."""
-        self.seen.ended_at = self.fleet.clock.now
-        self.seen.in_force = [
+        """Return the violations of what was observed so far."""
+        self.observations.ended_at = self.fleet.clock.now
+        self.observations.in_force = [
             RevisionInForce(item.node, item.revision, item.time)
             for item in self.fleet.measurements.in_force
         ]
-        return judge(self.seen)
+        return find_violations(self.observations)
 
-    def _result(self, imbalances: list[float]) -> SimulationResult:
+    def _build_result(self, imbalances: list[float]) -> SimulationResult:
         violations = self.violations()
         measured = self.fleet.measurements
-        flows = [flow for flow in self.seen.flows if flow.truth.established_at is not None]
+        flows = [flow for flow in self.observations.flows if flow.truth.established_at is not None]
         seconds = [
             max(time - accepted.time, 0.0)
-            for accepted, _, time in self.seen.in_force_times()
+            for accepted, _, time in self.observations.in_force_times()
             if time is not None
         ]
         result = SimulationResult(
@@ -153,8 +155,10 @@
             nodes=self.options.nodes,
             duration=self.duration,
             flows=len(flows),
-            broken_flows=sum(self._broke(flow) for flow in flows),
-            refused_flows=sum(flow.truth.outcome is Outcome.REFUSED for flow in self.seen.flows),
+            broken_flows=sum(self._counts_as_broken(flow) for flow in flows),
+            refused_flows=sum(
+                flow.truth.outcome is Outcome.REFUSED for flow in self.observations.flows
+            ),
             imbalance=round(max(imbalances, default=1.0), 4),
             imbalance_services=len(imbalances),
             violations=tuple(violations),
@@ -170,13 +174,16 @@
         outcomes = [GoalOutcome(goal.name, goal.met(result)) for goal in self.scenario.goals]
         return replace(result, goals=tuple(outcomes))
 
-    def _broke(self, flow: ObservedFlow) -> bool:
-        """Whether a flow broke although its backend lives."""
+    def _counts_as_broken(self, flow: ObservedFlow) -> bool:
+        """Whether a flow broke and none of its backends crashed."""
         return flow.truth.broken and not self._crashed_backends.intersection(flow.truth.backends)
 
     def _imbalances(self) -> list[float]:
-        """Return max/mean of open flows over active, living backends, by service with enough."""
-        drained = {drain.backend_id for drain in self.seen.drains}
+        """Return max/mean of open flows per backend, for each service with enough flows.
+
+        Crashed and draining backends are left out.
+        """
+        drained = {drain.backend_id for drain in self.observations.drains}
         counts: dict[str, list[int]] = {}
         for backend_id, backend in self.fleet.backends.items():
             if backend.host.running and backend_id not in drained:
--- a/src/beamloom/simulation/traffic.py
+++ b/src/beamloom/simulation/traffic.py
@@ -1,4 +1,4 @@
-"""Simulated clients, fabric edge and backends: the stand-ins' models on the simulated network."""
+"""Clients, fabric edges and backends: the models of `standins` on the simulated network."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from beamloom.protocol.commands import CheckBackend
 from beamloom.protocol.events import BackendChecked
 from beamloom.simulation.clock import ScheduledCall, VirtualClock
-from beamloom.simulation.deployment import DATA_PORT, BackendSite, Site
+from beamloom.simulation.deployment import DATA_PORT, BackendLocation, Site
 from beamloom.simulation.hosts import Host
 from beamloom.simulation.network import Network
 from beamloom.standins.application import Request, RequestKind
@@ -19,26 +19,26 @@
 from beamloom.standins.fabric_model import FabricModel
 
 CHECK_TIMEOUT = 1.0
-"""Seconds after which a health check without an answer counts as failed."""
+"""Seconds after which a health check without an answer fails."""
 UPDATE_SHARE = 0.1
 """Service time of an update as a share of that of a document."""
 CHECK_SECONDS = 0.0005
-"""How long a backend takes to answer a health check."""
+"""Processing time of a backend in the reported duration of a health check, in seconds."""
 
 
 def uniform_service_time(document_seconds: float) -> ServiceTime:
-    """Return service times drawn evenly round a mean, without the C library's logarithm."""
+    """Return a uniform distribution of service times, which needs no logarithm of the C library."""
 
-    def draw(request: Request, chance: random.Random) -> float:
+    def draw(request: Request, rng: random.Random) -> float:
         document = request.kind is RequestKind.DOCUMENT
         mean = document_seconds if document else document_seconds * UPDATE_SHARE
-        return mean * 2 * chance.random()
+        return mean * 2 * rng.random()
 
     return draw
 
 
 class PollTimer:
-    """Calls `poll` whenever the model's `next_timer` has come."""
+    """Calls `poll` when the time that `next_timer` returns has come."""
 
     def __init__(
         self,
@@ -54,47 +54,47 @@
         self._scheduled: ScheduledCall | None = None
         self._at: float | None = None
 
-    def arm(self) -> None:
-        """Look again at when the model wants to be polled."""
-        wanted = self._next_timer()
-        if wanted is None or (self._at is not None and self._at <= wanted):
+    def schedule(self) -> None:
+        """Schedule the next poll from `next_timer`, unless one is scheduled no later."""
+        due_at = self._next_timer()
+        if due_at is None or (self._at is not None and self._at <= due_at):
             return
         if self._scheduled is not None:
             self._scheduled.cancel()
-        self._at = wanted
-        self._scheduled = self._clock.call_at(wanted, self._host.deliver, self._expire)
+        self._at = due_at
+        self._scheduled = self._clock.call_at(due_at, self._host.deliver, self._expire)
 
     def _expire(self) -> None:
         self._scheduled = None
         self._at = None
-        wanted = self._next_timer()
-        if wanted is not None and wanted <= self._clock.now:
+        due_at = self._next_timer()
+        if due_at is not None and due_at <= self._clock.now:
             self._poll()
-        self.arm()
+        self.schedule()
 
 
 class ClientEdge:
-    """The clients of one site, behind the edge of the fabric that sprays their packets."""
+    """The clients of one site and the fabric edge that distributes their packets to balancers."""
 
     def __init__(
-        self, clock: VirtualClock, network: Network, site: Site, chance: random.Random
+        self, clock: VirtualClock, network: Network, site: Site, rng: random.Random
     ) -> None:
         self.site = site
         self.host = Host(clock, f"clients-{site.region}", site.client_zone)
-        self.fabric_address = SocketAddress(f"10.{site.number}.250.1", DATA_PORT)
+        self.fabric_address = SocketAddress(f"10.{site.network_number}.250.1", DATA_PORT)
         self.clients = ClientHost()
-        self.fabric = FabricModel(chance)
+        self.fabric = FabricModel(rng)
         self._clock = clock
         self._network = network
         self._timer = PollTimer(clock, self.host, self.clients.next_timer, self._poll)
         network.attach(self.fabric_address, self.host, self._answer_received)
 
     def start(self, flow: ClientFlow) -> None:
-        """Open a flow now."""
+        """Open a flow."""
         self._send(self.clients.start(flow, self._clock.now))
 
     def cancel(self, flow: ClientFlow) -> None:
-        """Give a flow up now."""
+        """Cancel a flow."""
         self._send(self.clients.cancel(flow, self._clock.now))
 
     def _answer_received(self, data: bytes, source: SocketAddress) -> None:
@@ -112,20 +112,20 @@
                 self._network.send(
                     self.host, self.fabric_address, delivery.destination, delivery.data
                 )
-        self._timer.arm()
+        self._timer.schedule()
 
 
 class SimulatedBackend:
-    """One backend on its host; answers leave by a random balancer of its site's fabric."""
+    """One backend and its host; it sends answers to random balancers of its site's fabric."""
 
     def __init__(
         self,
         clock: VirtualClock,
         network: Network,
-        placed: BackendSite,
+        placed: BackendLocation,
         *,
         edge: ClientEdge,
-        chance: random.Random,
+        rng: random.Random,
         options: BackendOptions,
     ) -> None:
         self.placed = placed
@@ -133,24 +133,24 @@
         self.model = BackendModel(
             placed.backend_id,
             placed.service.virtual_address,
-            chance,
+            rng,
             clock.now,
             options,
         )
         self._clock = clock
         self._network = network
         self._edge = edge
-        self._chance = chance
+        self._rng = rng
         self._timer = PollTimer(clock, self.host, self.model.next_timer, self._poll)
         network.attach(placed.data_address, self.host, self._received)
 
     def crash(self) -> None:
-        """End at once."""
+        """Crash the host and close its socket."""
         self.host.crash()
         self._network.detach(self.placed.data_address)
 
     def check(self, command: CheckBackend) -> BackendChecked:
-        """Answer a health check."""
+        """Return the result of a health check, with a duration of zero."""
         health = self.model.health(self._clock.now)
         return BackendChecked(
             command.backend_number, health.healthy, health.shedding, health.load, 0.0
@@ -166,14 +166,14 @@
         balancers = self._edge.fabric.balancers
         for packet in packets:
             if balancers:
-                destination = self._chance.choice(balancers)
+                destination = self._rng.choice(balancers)
                 source = self.placed.data_address
                 self._network.send(self.host, source, destination, packet)
-        self._timer.arm()
+        self._timer.schedule()
 
 
 class HealthChecks:
-    """Carries health checks from nodes to backends."""
+    """Executes the health checks of nodes at backends."""
 
     def __init__(self, clock: VirtualClock, network: Network) -> None:
         self._clock = clock
@@ -181,13 +181,13 @@
         self._backends: dict[SocketAddress, SimulatedBackend] = {}
 
     def add(self, backend: SimulatedBackend) -> None:
-        """Make a backend's health endpoint reachable."""
+        """Register a backend's health endpoint."""
         self._backends[backend.placed.health_address] = backend
 
     def check(
         self, host: Host, command: CheckBackend, deliver: Callable[[BackendChecked], None]
     ) -> None:
-        """Run one check for a node on `host`."""
+        """Check a backend for the node on `host` and pass the result to `deliver`."""
         backend = self._backends.get(command.health_address)
         delay = None if backend is None else self._network.delay_between(host, backend.host)
         if backend is None or delay is None or backend.host.paused:
--- a/src/beamloom/simulation/workload.py
+++ b/src/beamloom/simulation/workload.py
@@ -1,4 +1,4 @@
-"""The users' traffic: streams that last the whole run, and single requests all along."""
+"""Client traffic: streams that last until the end of the run, and single requests."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from beamloom.model.addresses import SocketAddress, TransportProtocol
 from beamloom.simulation.clock import VirtualClock
-from beamloom.simulation.deployment import ServiceShape
+from beamloom.simulation.deployment import ServiceSpec
 from beamloom.simulation.observations import ObservedFlow
 from beamloom.simulation.traffic import ClientEdge
 from beamloom.standins.application import RequestKind
@@ -17,19 +17,21 @@
 from beamloom.standins.client_stream import StreamFlow, StreamOptions
 
 FIRST_FLOW_AT = 3.0
-"""When the first flow opens, in seconds: the fleet has its configuration by then."""
+"""Time from which flows are opened, in seconds, so that the fleet can load its configuration."""
 RAMP_SECONDS = 10.0
+"""Period over which the streams are opened."""
 CLIENT_HOSTS = 250
+"""Number of client addresses of each site."""
 FIRST_CLIENT_PORT = 1024
 DOCUMENT_SIZE = 3_000
 UPDATE_SIZE = 100
 REQUEST_DEADLINE = 9.0
-"""Seconds after which a client gives a request up."""
+"""Seconds after which a client gives up on a request."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkloadOptions:
-    """How much traffic: streams in all, updates of each per second, requests per second in all."""
+    """Number of streams, seconds between the updates of each, and requests per second in all."""
 
     flows: int = 500
     update_interval: float = 10.0
@@ -38,20 +40,20 @@
 
 
 class Workload:
-    """Opens flows from the clients' edges and reports each to `observe`."""
+    """Opens flows at the clients' edges and passes each to `record_flow`."""
 
     def __init__(
         self,
         clock: VirtualClock,
         edges: list[ClientEdge],
         options: WorkloadOptions,
-        chance: random.Random,
-        observe: Callable[[ObservedFlow], None],
+        rng: random.Random,
+        record_flow: Callable[[ObservedFlow], None],
     ) -> None:
         self._clock = clock
         self._options = options
-        self._random = chance
-        self._observe = observe
+        self._rng = rng
+        self._record_flow = record_flow
         self._flow_number = 0
         self._targets = [(edge, service) for edge in edges for service in edge.site.services]
         self._weights = [service.backend_count for _, service in self._targets]
@@ -60,26 +62,26 @@
 
     def _schedule_streams(self) -> None:
         for _ in range(self._options.flows):
-            delay = FIRST_FLOW_AT + self._random.random() * RAMP_SECONDS
+            delay = FIRST_FLOW_AT + self._rng.random() * RAMP_SECONDS
             edge, service = self._draw_target()
             self._clock.call_later(delay, self.open_stream, edge, service)
 
     def _schedule_requests(self) -> None:
         rate = self._options.requests_per_second
         for number in range(int(rate * max(self._options.duration - FIRST_FLOW_AT, 0.0))):
-            time = FIRST_FLOW_AT + (number + self._random.random()) / rate
+            time = FIRST_FLOW_AT + (number + self._rng.random()) / rate
             edge, service = self._draw_target()
             self._clock.call_at(time, self.send_request, edge, service)
 
-    def _draw_target(self) -> tuple[ClientEdge, ServiceShape]:
-        return self._random.choices(self._targets, self._weights)[0]
+    def _draw_target(self) -> tuple[ClientEdge, ServiceSpec]:
+        return self._rng.choices(self._targets, self._weights)[0]
 
-    def target(self, tenant: str) -> tuple[ClientEdge, ServiceShape]:
-        """Return the first service of a tenant and the edge that its clients use."""
+    def target(self, tenant: str) -> tuple[ClientEdge, ServiceSpec]:
+        """Return the first service of a tenant and the edge of its clients."""
         return next(item for item in self._targets if item[1].tenant == tenant)
 
-    def open_stream(self, edge: ClientEdge, service: ServiceShape) -> None:
-        """Open one flow that lasts until the run ends."""
+    def open_stream(self, edge: ClientEdge, service: ServiceSpec) -> None:
+        """Open a stream that lasts until the run ends."""
         flow_id, local = self._next_flow(edge)
         options = StreamOptions(
             flow_id,
@@ -88,11 +90,11 @@
             interval=self._options.update_interval,
             size=UPDATE_SIZE,
         )
-        flow = StreamFlow(options, self._random)
+        flow = StreamFlow(options, self._rng)
         self._start(edge, flow, ObservedFlow(service.service_id, flow.truth))
 
-    def send_request(self, edge: ClientEdge, service: ServiceShape) -> None:
-        """Open one flow for one request: an update that may not be repeated, or a document."""
+    def send_request(self, edge: ClientEdge, service: ServiceSpec) -> None:
+        """Open a flow for one request: a document if the service is repeatable, else an update."""
         flow_id, local = self._next_flow(edge)
         kind = RequestKind.DOCUMENT if service.repeatable else RequestKind.UPDATE
         options = RequestOptions(
@@ -107,16 +109,16 @@
         )
         over_udp = service.protocol is TransportProtocol.UDP
         flow_type = UdpRequestFlow if over_udp else RequestFlow
-        flow = flow_type(options, self._random)
+        flow = flow_type(options, self._rng)
         observed = ObservedFlow(service.service_id, flow.truth, flow_id, service.repeatable)
         self._start(edge, flow, observed)
 
     def _next_flow(self, edge: ClientEdge) -> tuple[str, SocketAddress]:
         number = self._flow_number
         self._flow_number += 1
-        host = f"10.{edge.site.number}.200.{1 + number % CLIENT_HOSTS}"
+        host = f"10.{edge.site.network_number}.200.{1 + number % CLIENT_HOSTS}"
         return f"flow-{number}", SocketAddress(host, FIRST_CLIENT_PORT + number // CLIENT_HOSTS)
 
     def _start(self, edge: ClientEdge, flow: ClientFlow, observed: ObservedFlow) -> None:
-        self._observe(observed)
+        self._record_flow(observed)
         edge.start(flow)
--- a/tests/unit/simulation/broken_cores.py
+++ b/tests/unit/simulation/broken_cores.py
@@ -1,4 +1,4 @@
-"""Cores that break one promise each, so that the oracle can be seen to notice."""
+"""Cores that violate one invariant each, for the tests of the oracle."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 )
 from beamloom.standins.packets import SYN, Packet, build_packet, parse_packet
 
-BREAKS_AFTER = 13.0
-"""Seconds on a core's own clock, from its first event, during which it behaves."""
+CORRECT_SECONDS = 13.0
+"""Seconds from a core's start during which it behaves correctly."""
 
 
 class BrokenCore(NodeCore):
-    """Behaves for a while, so that flows are established."""
+    """Behaves correctly for `CORRECT_SECONDS`, so that flows are established."""
 
     def __init__(self, options: NodeOptions, now: float) -> None:
         super().__init__(options, now)
@@ -40,10 +40,10 @@
         return super().start(now)
 
     def broken(self, now: float) -> bool:
-        return self._started_at is not None and now > self._started_at + BREAKS_AFTER
+        return self._started_at is not None and now > self._started_at + CORRECT_SECONDS
 
     def contract_of(self, data: bytes) -> ServiceContract | None:
-        """Return the service that a client's packet is for."""
+        """Return the service to which a client sent a packet, or None."""
         packet = parse_packet(data)
         for contract in self.configuration.configuration.services.values():
             address = contract.virtual_address
@@ -52,7 +52,7 @@
         return None
 
 
-class ForgetsFlows(BrokenCore):
+class MovesFlows(BrokenCore):
     """Sends packets of an established flow to another backend of the service."""
 
     def packet_received(
@@ -84,7 +84,7 @@
 
 
 class TruncatesAnswers(BrokenCore):
-    """Drops every answer that is long."""
+    """Drops every answer of more than 1000 bytes."""
 
     def packet_received(
         self, data: bytes, source: SocketAddress, from_peer: bool, now: float
@@ -94,8 +94,8 @@
         return super().packet_received(data, source, from_peer, now)
 
 
-class DeniesRuns(BrokenCore):
-    """Turns the answer to a request that ran into "not run"."""
+class ReportsRunsAsRefused(BrokenCore):
+    """Replaces the answer to an executed request by a refusal."""
 
     def packet_received(
         self, data: bytes, source: SocketAddress, from_peer: bool, now: float
@@ -103,27 +103,27 @@
         destination = super().packet_received(data, source, from_peer, now)
         if destination is None or not self.broken(now) or self.contract_of(data) is not None:
             return destination
-        denial = self._denial(parse_packet(data))
-        if denial is not None:
-            self.denials.append((destination, denial))
+        refusal = self._refusal(parse_packet(data))
+        if refusal is not None:
+            self.refusals.append((destination, refusal))
             return None
         return destination
 
     def __init__(self, options: NodeOptions, now: float) -> None:
         super().__init__(options, now)
-        self.denials: list[tuple[SocketAddress, bytes]] = []
+        self.refusals: list[tuple[SocketAddress, bytes]] = []
 
     @property
     def has_commands(self) -> bool:
-        return bool(self.denials) or super().has_commands
+        return bool(self.refusals) or super().has_commands
 
     def take_commands(self, now: float) -> list[Command]:
-        denials, self.denials = self.denials, []
-        sent = [SendPacket(LocalSocket.DATA, address, data) for address, data in denials]
+        refusals, self.refusals = self.refusals, []
+        sent = [SendPacket(LocalSocket.DATA, address, data) for address, data in refusals]
         return [*sent, *super().take_commands(now)]
 
     @staticmethod
-    def _denial(packet: Packet) -> bytes | None:
+    def _refusal(packet: Packet) -> bytes | None:
         try:
             frames = FrameDecoder().feed(packet.payload)
         except ApplicationError:
@@ -131,11 +131,11 @@
         if not frames:
             return None
         answer = decode_answer(frames[0])
-        denied = Answer(answer.request_id, answer.backend_id, AnswerStatus.REFUSED)
-        return build_packet(replace(packet, payload=frame(denied)))
+        refused = Answer(answer.request_id, answer.backend_id, AnswerStatus.REFUSED)
+        return build_packet(replace(packet, payload=frame(refused)))
 
 
-class RunsTwice(BrokenCore):
+class DuplicatesRequests(BrokenCore):
     """Sends each datagram to every backend."""
 
     def __init__(self, options: NodeOptions, now: float) -> None:
@@ -164,7 +164,7 @@
 
 
 class IgnoresDrains(BrokenCore):
-    """Puts a draining backend in force as an active one."""
+    """Treats draining backends as active ones."""
 
     def handle(self, event: Event, now: float) -> list[Command]:
         if isinstance(event, StoreChanged):
@@ -179,7 +179,7 @@
 
 
 class CutsOnDrain(BrokenCore):
-    """Drops the packets of a backend's flows as soon as the backend is draining."""
+    """Drops all packets from and to a draining backend."""
 
     def packet_received(
         self, data: bytes, source: SocketAddress, from_peer: bool, now: float
@@ -194,24 +194,24 @@
         return None if destination in draining or source in draining else destination
 
 
-class HearsNothing(BrokenCore):
-    """Never puts a later configuration in force."""
+class IgnoresChanges(BrokenCore):
+    """Ignores later changes of the configuration."""
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        deaf = self.broken(now) and isinstance(event, StoreChanged | ControlDatagramReceived)
-        return [] if deaf else super().handle(event, now)
+        ignored = self.broken(now) and isinstance(event, StoreChanged | ControlDatagramReceived)
+        return [] if ignored else super().handle(event, now)
 
 
-class GoesBack(BrokenCore):
-    """Shows an earlier configuration again."""
+class ReportsOlderRevision(BrokenCore):
+    """Reports a lower revision in force than before."""
 
-    _shown: int | None = None
+    _reported: int | None = None
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        if self._shown is None and self.broken(now):
-            self._shown = self.revision_in_force - 1
+        if self._reported is None and self.broken(now):
+            self._reported = self.revision_in_force - 1
         return super().handle(event, now)
 
     @property
     def revision_in_force(self) -> int:
-        return super().revision_in_force if self._shown is None else self._shown
+        return super().revision_in_force if self._reported is None else self._reported
--- a/tests/unit/simulation/test_oracle.py
+++ b/tests/unit/simulation/test_oracle.py
@@ -2,7 +2,7 @@
 from functools import partial
 
 from beamloom.model.addresses import TransportProtocol
-from beamloom.simulation.deployment import ServiceShape, Site
+from beamloom.simulation.deployment import ServiceSpec, Site
 from beamloom.simulation.fleet import CoreFactory
 from beamloom.simulation.oracle import Invariant, Violation
 from beamloom.simulation.scenario import Scenario, ScenarioContext
@@ -16,7 +16,7 @@
     0.0015,
     0.001,
     1,
-    (ServiceShape("vakatale", "scans", "198.51.100.1", 3, False, TransportProtocol.UDP),),
+    (ServiceSpec("vakatale", "scans", "198.51.100.1", 3, False, TransportProtocol.UDP),),
 )
 
 
@@ -45,7 +45,7 @@
         )
         return list(simulate(scenario, options).violations)
 
-    def _assert_caught(
+    def _assert_reported(
         self,
         invariant: Invariant,
         core_factory: CoreFactory,
@@ -55,43 +55,45 @@
         found = self._violations(scenario, core_factory, document_seconds)
         self.assertIn(invariant, {violation.invariant for violation in found})
 
-    def test_whole_core_violates_nothing(self) -> None:
+    def test_product_core_violates_no_invariant(self) -> None:
         for scenario in (STEADY, DRAIN):
             options = RunOptions(nodes=2, flows=20, duration=30.0)
             result = simulate(scenario, options)
             self.assertGreater(result.flows, 20)
             self.assertEqual(result.violations, ())
 
-    def test_core_that_forgets_flows_is_caught(self) -> None:
-        self._assert_caught(Invariant.ESTABLISHED_FLOW_SURVIVES, broken_cores.ForgetsFlows)
+    def test_core_that_moves_flows_is_reported(self) -> None:
+        self._assert_reported(Invariant.ESTABLISHED_FLOW_SURVIVES, broken_cores.MovesFlows)
 
-    def test_core_that_mixes_services_is_caught(self) -> None:
-        self._assert_caught(Invariant.SERVICES_ARE_ISOLATED, broken_cores.MixesServices)
+    def test_core_that_mixes_services_is_reported(self) -> None:
+        self._assert_reported(Invariant.SERVICES_ARE_ISOLATED, broken_cores.MixesServices)
 
-    def test_core_that_drops_long_answers_is_caught(self) -> None:
-        self._assert_caught(Invariant.ANSWER_IS_WHOLE, broken_cores.TruncatesAnswers)
+    def test_core_that_drops_long_answers_is_reported(self) -> None:
+        self._assert_reported(Invariant.ANSWER_IS_WHOLE, broken_cores.TruncatesAnswers)
 
-    def test_core_that_denies_what_ran_is_caught(self) -> None:
-        self._assert_caught(Invariant.NOT_RUN_MEANS_NOT_RUN, broken_cores.DeniesRuns)
+    def test_core_that_reports_runs_as_refused_is_reported(self) -> None:
+        self._assert_reported(Invariant.NOT_RUN_MEANS_NOT_RUN, broken_cores.ReportsRunsAsRefused)
 
-    def test_core_that_runs_twice_is_caught(self) -> None:
-        self._assert_caught(Invariant.AT_MOST_ONCE, broken_cores.RunsTwice, UDP)
+    def test_core_that_duplicates_requests_is_reported(self) -> None:
+        self._assert_reported(Invariant.AT_MOST_ONCE, broken_cores.DuplicatesRequests, UDP)
 
-    def test_core_that_ignores_drains_is_caught(self) -> None:
-        self._assert_caught(
+    def test_core_that_ignores_drains_is_reported(self) -> None:
+        self._assert_reported(
             Invariant.LEAVING_BACKEND_GETS_NO_NEW_WORK, broken_cores.IgnoresDrains, DRAIN
         )
 
-    def test_core_that_cuts_requests_at_a_drain_is_caught(self) -> None:
-        self._assert_caught(
+    def test_core_that_drops_requests_at_a_drain_is_reported(self) -> None:
+        self._assert_reported(
             Invariant.PLANNED_STOP_CUTS_NOTHING, broken_cores.CutsOnDrain, DRAIN, 3.0
         )
 
-    def test_core_that_puts_nothing_in_force_is_caught(self) -> None:
-        self._assert_caught(Invariant.CONFIGURATION_IN_FORCE, broken_cores.HearsNothing, DRAIN)
+    def test_core_that_ignores_changes_is_reported(self) -> None:
+        self._assert_reported(Invariant.CONFIGURATION_IN_FORCE, broken_cores.IgnoresChanges, DRAIN)
 
-    def test_core_that_goes_back_is_caught(self) -> None:
-        self._assert_caught(Invariant.CONFIGURATION_IN_FORCE, broken_cores.GoesBack, DRAIN)
+    def test_core_that_reports_an_older_revision_is_reported(self) -> None:
+        self._assert_reported(
+            Invariant.CONFIGURATION_IN_FORCE, broken_cores.ReportsOlderRevision, DRAIN
+        )
 
 
 if __name__ == "__main__":
--- a/tests/unit/simulation/test_scenarios.py
+++ b/tests/unit/simulation/test_scenarios.py
@@ -52,13 +52,13 @@
 
 
 class ScenariosTest(unittest.TestCase):
-    def test_every_scenario_is_there_and_runs(self) -> None:
+    def test_every_scenario_exists_and_runs(self) -> None:
         self.assertEqual(set(SCENARIOS), NAMES)
         for name in sorted(NAMES - {"noisy-tenant"}):
             with self.subTest(name):
                 self.assertGreater(_run(name, duration=25.0).flows, 0)
 
-    def test_report_has_the_promised_fields(self) -> None:
+    def test_report_has_the_documented_fields(self) -> None:
         result = _run("backend-drain", duration=25.0)
         report = json.loads(to_json(result))
         self.assertLessEqual(FIELDS, set(report))
@@ -66,20 +66,20 @@
         self.assertEqual(set(report["control_bytes_per_second"]), {"median", "max"})
         self.assertGreater(report["config_in_force_seconds"]["max"], 0)
 
-    def test_baselines_break_flows_that_a_drain_moves(self) -> None:
+    def test_baselines_break_flows_when_backends_change(self) -> None:
         for placement in (Placement.MODULO, Placement.RENDEZVOUS):
             result = _run("rolling-replacement", placement)
             self.assertGreater(result.broken_flows, 0)
             self.assertEqual(_run("steady", placement).broken_flows, 0)
 
-    def test_lost_answers_are_resolved_by_the_operators(self) -> None:
+    def test_operators_resolve_lost_answers(self) -> None:
         simulation = Simulation(SCENARIOS["steady"], RunOptions(nodes=2, flows=0, duration=30.0))
         fleet = simulation.fleet
         fleet.store.inject(FaultPlan(lost_answers=1))
         simulation.run()
         self.assertEqual([write.key for write in fleet.operators.accepted], [SETTING_KEY])
-        self.assertEqual(fleet.operators.refused, [])
-        self.assertEqual(len(simulation.seen.accepted), 1)
+        self.assertEqual(fleet.operators.failed, [])
+        self.assertEqual(len(simulation.observations.accepted), 1)
 
 
 SETTING_KEY = "settings/tenant/vakatale"
