--- a/src/beamloom/admission/limits.py
+++ b/src/beamloom/admission/limits.py
@@ -173,7 +173,7 @@
             ) from None
 
     def admit_flow(self, tenant: str, now: float) -> AdmissionAnswer:
-        """Decide one new flow; an admitted one counts as open until `flow_closed`."""
+        """Decide one new flow; an admitted one counts as open until `flow_ended`."""
         account = self.account(tenant)
         account.refill_tokens(now)
         answer = self._decide(account, now)
@@ -190,7 +190,7 @@
         """Count an open flow that this home did not admit itself; it is never refused."""
         self.account(tenant).open_flows += 1
 
-    def flow_closed(self, tenant: str) -> None:
+    def flow_ended(self, tenant: str) -> None:
         """Subtract one open flow that closed or was handed over to another home."""
         account = self._accounts.get(tenant)
         if account is not None and account.open_flows > 0:
--- a/src/beamloom/bench/forwarding.py
+++ b/src/beamloom/bench/forwarding.py
@@ -27,7 +27,7 @@
 from beamloom.protocol.codec import KeyRing
 from beamloom.routing.flow_table import FlowFlag, FlowTable
 from beamloom.routing.hashing import FLOW_KEY_MASK
-from beamloom.routing.ownership import ALONE_SECONDS
+from beamloom.routing.ownership import JOIN_WAIT_SECONDS
 from beamloom.runtime.balancer import BalancerProcess
 from beamloom.runtime.machine_sockets import MachineSockets
 
@@ -223,7 +223,7 @@
         forwarder.update_services([_contract(self._sink_address)], [])
         alone = [Member(self._machine, MemberState.ALIVE, 0)]
         forwarder.update_members(alone, now)
-        forwarder.update_members(alone, now + 2 * ALONE_SECONDS)
+        forwarder.update_members(alone, now + 2 * JOIN_WAIT_SECONDS)
         for number in range(self._flows):
             self.core.packet_received(make_packet(number), self._sink_address, False, now)
 
--- a/src/beamloom/bench/scale_observations.py
+++ b/src/beamloom/bench/scale_observations.py
@@ -104,7 +104,7 @@
         for crashed, (time, waiting) in list(self._pending.items()):
             for name in sorted(waiting):
                 member = self._nodes[name].core.core.membership.view.member(crashed)
-                if member is None or not member.answers:
+                if member is None or not member.is_reachable:
                     waiting.discard(name)
                     self.seconds.append(now - time)
             if not waiting:
--- a/src/beamloom/bench/scale_single.py
+++ b/src/beamloom/bench/scale_single.py
@@ -90,7 +90,7 @@
     for _ in range(count):
         key = (rng.getrandbits(46) << 14) | rng.choice(partitions)
         service = rng.choice(routes)
-        home.enter(key, home.choose(key, service, 0.0), service, FlowFlag.PAYLOAD_SENT, 0.0)
+        home.insert(key, home.choose(key, service, 0.0), service, FlowFlag.PAYLOAD_SENT, 0.0)
 
 
 def _measure_memory(
--- a/src/beamloom/bench/scale_traffic.py
+++ b/src/beamloom/bench/scale_traffic.py
@@ -100,7 +100,7 @@
         relay = self._nodes[self._rng.choice(self._names)]
         ports = struct.pack("!HH", port, SERVICE_PORT)
         partition = partition_of(flow_key(client + virtual_ip + ports, self._seed))
-        home = relay.core.core.forwarder.ownership.deciders[partition]
+        home = relay.core.core.forwarder.ownership.forward_targets[partition]
         if home is None or home not in self._nodes:
             return
         payload = PAYLOAD if flags == TCP_ACK else b""
@@ -134,4 +134,4 @@
             service = rng.choice(routes)
             number = service.current_table.first[slot_of(key)]
             choice = Choice(number, PlacementReason.BASE_GENERATION)
-            home.enter(key, choice, service, FlowFlag.PAYLOAD_SENT, now)
+            home.insert(key, choice, service, FlowFlag.PAYLOAD_SENT, now)
--- a/src/beamloom/membership/member_table.py
+++ b/src/beamloom/membership/member_table.py
@@ -53,7 +53,7 @@
         """Other members that are reachable, in the order of their ids."""
         if self._peers is None:
             others = (self.members[node_id] for node_id in self.sorted_ids)
-            self._peers = [m for m in others if m.answers and m.machine.node_id != self.own_id]
+            self._peers = [m for m in others if m.is_reachable and m.machine.node_id != self.own_id]
         return self._peers
 
     @property
@@ -99,7 +99,7 @@
             self._toggle_digest(before)
         self._toggle_digest(member)
         self.members[node_id] = member
-        if member.answers:
+        if member.is_reachable:
             self._gone_since.pop(node_id, None)
         else:
             self._gone_since[node_id] = now
@@ -135,7 +135,7 @@
 
     def _toggle_digest(self, member: Member) -> None:
         # Members that left or died are not included: nodes remove them at different times.
-        if not member.answers:
+        if not member.is_reachable:
             return
         node_id = member.machine.node_id
         text = f"{node_id} {int(member.state)} {member.incarnation}"
--- a/src/beamloom/membership/probe_ring.py
+++ b/src/beamloom/membership/probe_ring.py
@@ -54,7 +54,7 @@
         for _ in range(2):
             while ring:
                 member = table.members.get(ring.pop())
-                if member is not None and member.answers and needs_probe(member):
+                if member is not None and member.is_reachable and needs_probe(member):
                     return member
             ring.extend(m.machine.node_id for m in self._peers if self._is_near(m) == near)
             self._rng.shuffle(ring)
--- a/src/beamloom/membership/prober.py
+++ b/src/beamloom/membership/prober.py
@@ -122,7 +122,7 @@
     def answer_ping_request(self, sender: NodeId, request: PingRequest, now: float) -> None:
         """Ping a target on behalf of another node."""
         member = self._tracker.table.members.get(NodeId(request.target))
-        if member is None or not member.answers or len(self._relays) >= MAXIMUM_RELAYS:
+        if member is None or not member.is_reachable or len(self._relays) >= MAXIMUM_RELAYS:
             return
         number = self._new_number()
         target = member.machine.node_id
--- a/src/beamloom/membership/synchronizer.py
+++ b/src/beamloom/membership/synchronizer.py
@@ -167,7 +167,7 @@
             own = table.update_of(node_id, with_machine=node_id not in received)
             other = received.get(node_id)
             rank = (own.incarnation, own.state)
-            is_reachable = table.members[node_id].answers
+            is_reachable = table.members[node_id].is_reachable
             if is_reachable if other is None else rank > (other.incarnation, other.state):
                 newer.append(own)
         if newer:
--- a/src/beamloom/membership/tracker.py
+++ b/src/beamloom/membership/tracker.py
@@ -87,7 +87,7 @@
         at this node, without waiting for their own suspicions to arrive by gossip.
         """
         member = self.table.members.get(node_id)
-        if member is None or not member.answers:
+        if member is None or not member.is_reachable:
             return
         if member.state is MemberState.LEAVING:
             self._suspect_locally(member, now)
@@ -190,7 +190,7 @@
             self.suspicions.pop(node_id, None)
         self._invalidate_deadline()
         suspected = {MemberState.SUSPECT, MemberState.DEAD}
-        if change.before is not None and change.before.state in suspected and after.answers:
+        if change.before is not None and change.before.state in suspected and after.is_reachable:
             self.flaps.record_return(node_id, now)
 
     def _gossip_change(self, change: MemberChange, update: MemberUpdate) -> None:
--- a/src/beamloom/membership/view.py
+++ b/src/beamloom/membership/view.py
@@ -22,9 +22,9 @@
         """Yield the members that partitions may be assigned to."""
         return (member for member in self.members.values() if member.may_be_home)
 
-    def answers(self) -> Iterator[Member]:
+    def reachable(self) -> Iterator[Member]:
         """Yield the members that packets and messages may be sent to."""
-        return (member for member in self.members.values() if member.answers)
+        return (member for member in self.members.values() if member.is_reachable)
 
     def member(self, node_id: NodeId) -> Member | None:
         """Return the member of that id, or None if it is not known."""
--- a/src/beamloom/model/machines.py
+++ b/src/beamloom/model/machines.py
@@ -53,6 +53,6 @@
         return self.state in {MemberState.ALIVE, MemberState.SUSPECT}
 
     @property
-    def answers(self) -> bool:
+    def is_reachable(self) -> bool:
         """Whether packets and messages may still be sent to this node."""
         return self.state <= MemberState.LEAVING
--- a/src/beamloom/node/core.py
+++ b/src/beamloom/node/core.py
@@ -210,7 +210,7 @@
         self._view_version = view.version
         self._timers.invalidate_all()
         members = [view.members[node_id] for node_id in sorted(view.members)]
-        answering = [member for member in members if member.answers]
+        answering = [member for member in members if member.is_reachable]
         self.replica.update_members(answering, now)
         self.fleet_status.update_members(answering, now)
         self.watchers.update_members(answering, now)
--- a/src/beamloom/node/routing_hooks.py
+++ b/src/beamloom/node/routing_hooks.py
@@ -20,7 +20,7 @@
 from beamloom.model.contracts import BackendOperatingStatus, ServiceContract
 from beamloom.protocol.commands import Command
 from beamloom.replication.backend_status.watchers import BackendWatchers, UnknownBackendError
-from beamloom.routing.hooks import Cancellation, FlowVerdict, TrafficMeter
+from beamloom.routing.hooks import Cancellation, FlowAdmission, TrafficMeter
 
 
 class TenantGate:
@@ -30,17 +30,17 @@
         self._admission = admission
         self._retries: dict[str, RetryBudget] = {}
 
-    def admit_flow(self, service: ServiceContract, now: float) -> FlowVerdict:
+    def admit_flow(self, service: ServiceContract, now: float) -> FlowAdmission:
         """Decide on one new flow; a tenant without a contract is not limited."""
         self._budget(service).record_first_try(now)
         try:
             answer = self._admission.admit_flow(service.tenant, now)
         except UnknownTenantError:
-            return FlowVerdict(admitted=True)
+            return FlowAdmission(admitted=True)
         admitted = answer.decision is AdmissionDecision.ADMIT
         if admitted:
             self._admission.entry_added(service.tenant)
-        return FlowVerdict(admitted, answer.retry_after)
+        return FlowAdmission(admitted, answer.retry_after)
 
     def flow_taken_over(self, service: ServiceContract) -> None:
         """Count as open a flow that was admitted earlier or elsewhere."""
@@ -52,7 +52,7 @@
 
     def flow_ended(self, service: ServiceContract) -> None:
         """Stop counting a flow as open: it ended or was handed to another home."""
-        self._admission.flow_closed(service.tenant)
+        self._admission.flow_ended(service.tenant)
         self._admission.entry_removed(service.tenant)
 
     def take_retry(self, service: ServiceContract, now: float) -> bool:
--- a/src/beamloom/replication/backend_status/watchers.py
+++ b/src/beamloom/replication/backend_status/watchers.py
@@ -95,7 +95,7 @@
     def update_members(self, members: Iterable[Member], now: float) -> None:
         """Update the gossip peers, and the watched backends if the candidate watchers changed."""
         listed = tuple(members)
-        others = [item.machine.node_id for item in listed if item.answers]
+        others = [item.machine.node_id for item in listed if item.is_reachable]
         self._gossip.update_peers([node for node in others if node != self._node_id])
         if self._assignment.update_members(listed):
             self._update_watched(now)
--- a/src/beamloom/replication/peer_selection.py
+++ b/src/beamloom/replication/peer_selection.py
@@ -20,7 +20,7 @@
 
     def update(self, members: Sequence[Member]) -> None:
         """Replace the members to select from."""
-        others = [item for item in members if item.answers]
+        others = [item for item in members if item.is_reachable]
         others = [item for item in others if item.machine.node_id != self._node_id]
         self.all = [item.machine.node_id for item in others]
         self.any_alive = any(item.state is MemberState.ALIVE for item in others)
--- a/src/beamloom/replication/status_groups.py
+++ b/src/beamloom/replication/status_groups.py
@@ -30,7 +30,7 @@
 
     def update(self, members: Sequence[Member]) -> None:
         """Update the groups from the member list; this node always counts as a member."""
-        names = {item.machine.node_id for item in members if item.answers} | {self._node_id}
+        names = {item.machine.node_id for item in members if item.is_reachable} | {self._node_id}
         if names == self.members:
             return
         hashes = {name: self._hashes.get(name) or xxhash.xxh3_64_intdigest(name) for name in names}
--- a/src/beamloom/routing/explanation.py
+++ b/src/beamloom/routing/explanation.py
@@ -6,10 +6,10 @@
 from enum import Enum
 
 from beamloom.model.machines import NodeId
+from beamloom.routing.deadline_enforcer import ENDED_AT_DEADLINE
 from beamloom.routing.flow_table import FlowFlag
 from beamloom.routing.hashing import partition_of
 from beamloom.routing.home import Home
-from beamloom.routing.late_flows import ENDED_AT_DEADLINE
 from beamloom.routing.packet import FlowTuple
 from beamloom.routing.replicas import ReplicaStore
 from beamloom.routing.selection import PlacementReason
@@ -80,7 +80,7 @@
         if row is not None:
             return self._explain_row(key, row, service_id)
         partition = partition_of(key)
-        decider = self._home.ownership.deciders[partition]
+        decider = self._home.ownership.forward_targets[partition]
         held = self._replicas.get(partition)
         number = None if held is None else held.records.get(key)
         if held is None or number is None:
@@ -108,7 +108,7 @@
             service_id,
             partition,
             FlowRole.HOME if is_home else FlowRole.CACHED,
-            ownership.deciders[partition],
+            ownership.forward_targets[partition],
             self._backend_id(number),
             table.created[row],
             reason if is_home else PlacementReason.CACHED_ANSWER,
--- a/src/beamloom/routing/forwarder.py
+++ b/src/beamloom/routing/forwarder.py
@@ -24,8 +24,7 @@
     unpack_records,
 )
 from beamloom.protocol.messages import Message
-from beamloom.routing.answers import CacheAnswerBatches, RelayedFlows
-from beamloom.routing.deciding import ClientFlowPacket, HomePacketHandler
+from beamloom.routing.cache_answers import CacheAnswerBatches, RelayedFlows
 from beamloom.routing.explanation import FlowExplainer, FlowExplanation, RoutingSnapshot
 from beamloom.routing.fast_path import FastPath
 from beamloom.routing.flow_table import FlowFlag, FlowTable
@@ -36,8 +35,8 @@
     partition_of,
 )
 from beamloom.routing.home import Home, lease_seconds
+from beamloom.routing.home_packets import ClientFlowPacket, HomePacketHandler
 from beamloom.routing.hooks import RoutingHooks, permissive_hooks
-from beamloom.routing.openings import HandoverBuffer
 from beamloom.routing.ownership import Acquired, Ownership
 from beamloom.routing.packet import (
     PROTOCOL_TCP,
@@ -50,6 +49,7 @@
     parse_packet,
     with_hop_limit_decremented,
 )
+from beamloom.routing.packet_buffers import HandoverBuffer
 from beamloom.routing.replica_sender import ReplicaSender
 from beamloom.routing.replicas import ReplicaStore
 from beamloom.routing.services import RouteTable, ServiceRoute
@@ -118,10 +118,10 @@
 
         `removed` holds service numbers.
         """
-        removed_backends = self.routes.numbers_lost(changed, removed)
+        removed_backends = self.routes.removed_backends(changed, removed)
         if removed_backends:
             for key in self.table.keys_with_backends(removed_backends):
-                self.home.forget(key)
+                self.home.remove(key)
         self.routes.update(changed)
         for service_number in removed:
             self.routes.remove(service_number)
@@ -208,13 +208,13 @@
     ) -> SocketAddress | None:
         key = self._key(view.flow)
         partition = partition_of(key)
-        decider = self.ownership.deciders[partition]
+        decider = self.ownership.forward_targets[partition]
         if decider == self.node_id:
             return self._forward_as_home(ClientFlowPacket(key, data, view, service, relay), now)
         address = self._cached_address(key, view, service, relay, now)
         if address is not None:
             return address
-        if relay is not None and relay == decider and partition not in self.ownership.handed:
+        if relay is not None and relay == decider and partition not in self.ownership.handed_over:
             self._hold_until_handover(partition, data, relay)
         else:
             self._relay(data, decider, RELAY_HOP_LIMIT)
@@ -242,7 +242,7 @@
     def _may_place_retransmission(self, key: int, row: int) -> bool:
         closed = self.table.flags[row] & (FlowFlag.CLIENT_CLOSED | FlowFlag.BACKEND_CLOSED)
         ownership, partition = self.ownership, partition_of(key)
-        return not closed and (partition in ownership.handed or partition in ownership.frozen)
+        return not closed and (partition in ownership.handed_over or partition in ownership.frozen)
 
     def _hold_until_handover(self, partition: int, data: bytes, relay: NodeId) -> None:
         """Buffer a packet that a frozen owner relayed until its HANDOVER arrives."""
@@ -314,7 +314,7 @@
             self._handler.answer_times.answered(key, now)
         if not view.closes_flow:
             return self._gateway(key)
-        decider = self.ownership.deciders[partition_of(key)]
+        decider = self.ownership.forward_targets[partition_of(key)]
         if decider == self.node_id:
             decision = self._handler.handle_backend_close(key, view, service, now)
             self._commands.extend(decision.commands)
@@ -353,7 +353,7 @@
     def _handle_cache_answers(self, sender: NodeId, packed_records: bytes, now: float) -> None:
         for record in unpack_records(packed_records):
             route = self.routes.backends.get(record.backend_number)
-            if self.ownership.deciders[partition_of(record.key)] != sender or route is None:
+            if self.ownership.forward_targets[partition_of(record.key)] != sender or route is None:
                 continue
             deadline = now + lease_seconds(route.service)
             self.table.insert(record.key, record.backend_number, _PAYLOAD_SENT, deadline, now)
@@ -364,11 +364,11 @@
         if self._tick_due <= now:
             self._tick_due = now + TICK_SECONDS
             for key in self.table.expired(now):
-                self.home.forget(key)
+                self.home.remove(key)
             commands.extend(self._transfers.poll(now))
             commands.extend(self._sender.poll(now))
             commands.extend(self._handler.poll(now))
-            self._leave_complete = self.ownership.leaving and self._transfers.nothing_left(now)
+            self._leave_complete = self.ownership.leaving and self._transfers.handover_complete(now)
         return commands + self.take_commands()
 
     def next_timer(self) -> float | None:
--- a/src/beamloom/routing/home.py
+++ b/src/beamloom/routing/home.py
@@ -20,7 +20,7 @@
 from beamloom.routing.services import RouteTable, ServiceRoute
 
 CACHE_LEASE_SECONDS = 30.0
-CLOSED_SECONDS = 10.0
+CLOSED_FLOW_SECONDS = 10.0
 BOTH_CLOSED = FlowFlag.CLIENT_CLOSED | FlowFlag.BACKEND_CLOSED
 _FLAGS_MASK = 0xFF
 _HOME_FLAG = int(FlowFlag.HOME)
@@ -58,7 +58,7 @@
         revision = self.routes.revision if owned is None else owned.base
         return service.backend_at(revision, slot_of(key))
 
-    def knows_every_flow(self, service: ServiceRoute, partition: int, now: float) -> bool:
+    def has_every_live_flow(self, service: ServiceRoute, partition: int, now: float) -> bool:
         """Whether each live flow of a service in an owned partition must have an entry here.
 
         The home receives a packet of each active flow at least once per cache lease; an idle flow
@@ -78,7 +78,7 @@
             return None
         route = self.routes.backends.get(self.table.backend[row])
         if route is None or route.service is not service:
-            self.forget(key)
+            self.remove(key)
             return None
         if self.table.flags[row] & _HOME_FLAG:
             return row
@@ -88,7 +88,7 @@
         number = self.table.backend[row]
         choice = Choice(number, PlacementReason.CACHED_ANSWER)
         self.hooks.admission.flow_taken_over(service.contract)
-        return self.enter(key, choice, service, FlowFlag.PAYLOAD_SENT, now)
+        return self.insert(key, choice, service, FlowFlag.PAYLOAD_SENT, now)
 
     def choose(
         self, key: int, service: ServiceRoute, now: float, excluded: int = NO_CANDIDATE
@@ -113,10 +113,12 @@
             preferred=preferred,
         )
 
-    def enter(self, key: int, choice: Choice, service: ServiceRoute, flags: int, now: float) -> int:
+    def insert(
+        self, key: int, choice: Choice, service: ServiceRoute, flags: int, now: float
+    ) -> int:
         """Insert the entry of a flow at its home and return its row."""
         known = self.deadlines.take(key)
-        self.forget(key)
+        self.remove(key)
         number = choice.backend_number
         if service.deadline:
             known = known or FlowDeadline(now)
@@ -132,18 +134,18 @@
         return row
 
     def _is_exception(self, key: int, number: int, service: ServiceRoute) -> bool:
-        return service.binds_first or number != self.base_backend(service, key)
+        return service.requires_binding or number != self.base_backend(service, key)
 
     def backend_of(self, row: int) -> int:
         """Return the number of the backend of a row."""
         return self.table.backend[row]
 
-    def lift_deadline(self, key: int, row: int) -> None:
+    def cancel_deadline(self, key: int, row: int) -> None:
         """Cancel a flow's deadline, unless it has passed."""
         if self.deadlines.take(key) is not None:
             self.table.flags[row] &= ~FlowFlag.DEADLINE & _FLAGS_MASK
 
-    def forget(self, key: int) -> None:
+    def remove(self, key: int) -> None:
         """Remove a flow's entry; a home entry is counted as ended."""
         row = self.table.rows.get(key)
         if row is None:
@@ -166,7 +168,7 @@
         over = (self.table.flags[row] | sides) & BOTH_CLOSED == BOTH_CLOSED
         if over:
             self._count_ended(row)
-            self.table.deadline[row] = now + CLOSED_SECONDS
+            self.table.deadline[row] = now + CLOSED_FLOW_SECONDS
         self.table.flags[row] |= sides
         return over
 
@@ -208,7 +210,7 @@
             if route is None or (known and not guessed):
                 continue
             self.hooks.admission.flow_taken_over(route.service.contract)
-            self.enter(key, Choice(number, reason), route.service, FlowFlag.PAYLOAD_SENT, now)
+            self.insert(key, Choice(number, reason), route.service, FlowFlag.PAYLOAD_SENT, now)
 
     def demote(self, partitions: Iterable[int], now: float) -> None:
         """Turn the home entries of partitions that are handed over into leased copies."""
@@ -216,7 +218,7 @@
             if not self.table.flags[row] & _HOME_FLAG:
                 continue
             self._count_ended(row)
-            self.lift_deadline(key, row)
+            self.cancel_deadline(key, row)
             self.table.flags[row] &= (
                 ~(FlowFlag.HOME | FlowFlag.REPLICATED | FlowFlag.HELD) & _FLAGS_MASK
             )
@@ -237,7 +239,7 @@
             partition
             for partition in partitions
             if self.ownership.owned[partition].base != self.routes.revision
-            and all(self.knows_every_flow(service, partition, now) for service in services)
+            and all(self.has_every_live_flow(service, partition, now) for service in services)
         ]
         if not ready:
             return {}
--- a/src/beamloom/routing/deciding.py
+++ b/src/beamloom/routing/home_packets.py
@@ -14,13 +14,13 @@
 from beamloom.protocol.commands import Command, LocalSocket, SendPacket
 from beamloom.routing.answer_times import AnswerTimes
 from beamloom.routing.bindings import Bindings, ReleasedFlow
+from beamloom.routing.deadline_enforcer import DeadlineEnforcer
 from beamloom.routing.flow_table import FlowFlag
 from beamloom.routing.hashing import partition_of
 from beamloom.routing.home import BOTH_CLOSED, Home
-from beamloom.routing.late_flows import DeadlineEnforcer
-from beamloom.routing.openings import OpeningPacketBuffer
 from beamloom.routing.ownership import Acquisition
 from beamloom.routing.packet import PROTOCOL_TCP, TCP_RST, DropReason, PacketView
+from beamloom.routing.packet_buffers import OpeningPacketBuffer
 from beamloom.routing.placement import NO_CANDIDATE
 from beamloom.routing.replica_sender import ReplicaSender
 from beamloom.routing.selection import Choice, PlacementReason
@@ -94,7 +94,7 @@
             return None
         if self._home.known_row(packet.key, packet.service, now) is not None:
             return None
-        return former if self._home.ownership.answers(former) else None
+        return former if self._home.ownership.is_reachable(former) else None
 
     # -- packets of clients ----------------------------------------------------------------------
 
@@ -103,7 +103,7 @@
         key, view = packet.key, packet.view
         row = self._home.known_row(key, packet.service, now)
         if row is not None and view.opens_flow and self._is_closing(row):
-            self._home.forget(key)
+            self._home.remove(key)
             row = None
         if row is None:
             if view.is_error:
@@ -132,7 +132,7 @@
             return Decision(drop=DropReason.UNKNOWN_BINDING)
         base = self._current_base_backend(packet)
         partition = partition_of(packet.key)
-        if base is None or self._home.knows_every_flow(packet.service, partition, now):
+        if base is None or self._home.has_every_live_flow(packet.service, partition, now):
             return self._place_new(packet, now)
         self._hooks.admission.flow_taken_over(packet.service.contract)
         return self._enter(packet, Choice(base, PlacementReason.BASE_GENERATION), now)
@@ -156,21 +156,21 @@
             flags |= FlowFlag.GUESSED
         self._hooks.admission.flow_taken_over(packet.service.contract)
         choice = Choice(number, PlacementReason.BASE_GENERATION)
-        row = self._home.enter(packet.key, choice, packet.service, flags, now)
+        row = self._home.insert(packet.key, choice, packet.service, flags, now)
         self._counters["flows_by_base"] += 1
         self._record_client_packet(packet, row, now)
         return Decision(number)
 
     def _binding_may_be_lost(self, packet: ClientFlowPacket, now: float) -> bool:
         policy = packet.service.contract.policy
-        if not packet.service.binds_first:
+        if not packet.service.requires_binding:
             return False
         partition = partition_of(packet.key)
         owned = self._home.ownership.owned[partition]
         wait = policy.request_deadline or BINDING_RECOVERY_SECONDS
         if owned.acquisition is not Acquisition.CRASH or now - owned.since >= wait:
             return False
-        return not self._transfers.bindings_known(partition)
+        return not self._transfers.has_all_bindings(partition)
 
     def _place_new(self, packet: ClientFlowPacket, now: float) -> Decision:
         contract = packet.service.contract
@@ -194,7 +194,7 @@
             self._hooks.admission.flow_ended(service.contract)
             return Decision(drop=DropReason.UNKNOWN_BINDING)
         flags = FlowFlag.HELD if commands else FlowFlag(0)
-        row = self._home.enter(key, choice, service, flags, now)
+        row = self._home.insert(key, choice, service, flags, now)
         self._record_client_packet(packet, row, now)
         if view.opens_flow and not view.payload_size:
             self._opening_packets.keep(key, packet.data)
@@ -210,7 +210,7 @@
 
         None if the limit of held flows is reached.
         """
-        if not service.binds_first:
+        if not service.requires_binding:
             return []
         holders = self._sender.holders(partition_of(key))
         if not holders:
@@ -255,7 +255,7 @@
     ) -> None:
         sides = BOTH_CLOSED if view.tcp_flags & TCP_RST else side
         if self._home.close(row, sides, now):
-            self._home.lift_deadline(key, row)
+            self._home.cancel_deadline(key, row)
 
     def mark_payload_sent(self, key: int) -> None:
         """Record that payload may have been sent: another node now caches the flow's backend."""
@@ -310,7 +310,7 @@
         self._hooks.admission.flow_taken_over(service.contract)
         flags = FlowFlag.HELD if bind_commands else FlowFlag(0)
         retried = Choice(number, PlacementReason.RETRIED_AFTER_REFUSAL)
-        self._home.enter(key, retried, service, flags, now)
+        self._home.insert(key, retried, service, flags, now)
         self._opening_packets.keep(key, b"")
         self._counters["flows_offered_again"] += 1
         if bind_commands:
--- a/src/beamloom/routing/hooks.py
+++ b/src/beamloom/routing/hooks.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FlowVerdict:
+class FlowAdmission:
     """Whether a new flow is admitted; if not, the client may retry after `retry_after` seconds."""
 
     admitted: bool
@@ -23,7 +23,7 @@
 class AdmissionGate(Protocol):
     """Limits on new flows and retry budgets."""
 
-    def admit_flow(self, service: ServiceContract, now: float) -> FlowVerdict:
+    def admit_flow(self, service: ServiceContract, now: float) -> FlowAdmission:
         """Decide on a new flow; an admitted flow counts as open until `flow_ended`."""
 
     def flow_taken_over(self, service: ServiceContract) -> None:
@@ -73,9 +73,9 @@
 class PermissiveAdmission:
     """Admits every flow and allows every retry."""
 
-    def admit_flow(self, service: ServiceContract, now: float) -> FlowVerdict:
+    def admit_flow(self, service: ServiceContract, now: float) -> FlowAdmission:
         """Admit the flow."""
-        return FlowVerdict(admitted=True)
+        return FlowAdmission(admitted=True)
 
     def flow_taken_over(self, service: ServiceContract) -> None:
         """Count nothing."""
--- a/src/beamloom/routing/ownership.py
+++ b/src/beamloom/routing/ownership.py
@@ -27,7 +27,7 @@
 MAXIMUM_NODES_ASKED = 8
 REQUEST_ROUNDS = 3
 RETURN_DELAY_SECONDS = 5.0
-ALONE_SECONDS = 2.0
+JOIN_WAIT_SECONDS = 2.0
 
 
 class Acquisition(Enum):
@@ -89,7 +89,7 @@
 class Ownership:
     """The ownership state of every partition at one node.
 
-    `deciders` names, for each partition, the node that packets of unknown flows go to.
+    `forward_targets` names, for each partition, the node that packets of unknown flows go to.
     """
 
     def __init__(self, node_id: NodeId) -> None:
@@ -98,11 +98,11 @@
         self.map = PartitionMap(())
         self.previous_map = self.map
         self.homes: list[NodeId | None] = self.map.homes_by_partition()
-        self.deciders: list[NodeId | None] = list(self.homes)
+        self.forward_targets: list[NodeId | None] = list(self.homes)
         self.owned: dict[int, OwnedPartition] = {}
         self.awaited: dict[int, AwaitedPartition] = {}
         self.frozen: dict[int, NodeId] = {}
-        self.handed: dict[int, float] = {}
+        self.handed_over: dict[int, float] = {}
         self.previous_homes: dict[int, NodeId] = {}
         self.temporary_routes: dict[int, float] = {}
         self.leaving = False
@@ -111,28 +111,28 @@
         self._may_own = False
         self._left: set[NodeId] = set()
 
-    def answers(self, node_id: NodeId | None) -> bool:
+    def is_reachable(self, node_id: NodeId | None) -> bool:
         """Whether a node is a member that accepts packets and messages."""
         member = self.members.get(node_id) if node_id is not None else None
-        return member is not None and member.answers
+        return member is not None and member.is_reachable
 
     def update(self, members: Sequence[Member], now: float) -> list[Acquired]:
         """Apply a member list; returns the partitions that this node acquires at once."""
         leaving = {key for key, item in self.members.items() if item.state is MemberState.LEAVING}
         self.members = {member.machine.node_id: member for member in members}
-        self._left = {key for key in leaving | self._left if not self.answers(key)}
+        self._left = {key for key in leaving | self._left if not self.is_reachable(key)}
         self._listed_at = now if self._listed_at is None else self._listed_at
         return self.reassign(now)
 
     def join_wait_over(self, now: float) -> bool:
-        """Whether no other home was found within ALONE_SECONDS of the first member list."""
+        """Whether no other home was found within JOIN_WAIT_SECONDS of the first member list."""
         alone_since = None if self._may_own else self._listed_at
-        return alone_since is not None and now - alone_since >= ALONE_SECONDS
+        return alone_since is not None and now - alone_since >= JOIN_WAIT_SECONDS
 
     def _update_may_own(self, now: float) -> bool:
         """Return whether this node may own partitions: another home or a leaving member is known.
 
-        Without either, it may once ALONE_SECONDS have passed. A joining node may receive its
+        Without either, it may once JOIN_WAIT_SECONDS have passed. A joining node may receive its
         configuration before it knows any other member; partitions that it acquired at once would
         have two owners.
         """
@@ -190,26 +190,26 @@
             return []
         if partition in self.awaited:
             return []
-        has_newer_owner = partition in self.temporary_routes or partition in self.handed
-        owner = self.deciders[partition] if has_newer_owner else former
+        has_newer_owner = partition in self.temporary_routes or partition in self.handed_over
+        owner = self.forward_targets[partition] if has_newer_owner else former
         self.temporary_routes.pop(partition, None)
         return self._await_or_acquire(partition, owner, now)
 
     def _route_to_home(self, partition: int, home: NodeId | None, now: float) -> None:
         """Route packets to the home, or for a limited time to the owner that was awaited."""
         awaited = self.awaited.pop(partition, None)
-        if awaited is not None and self.answers(awaited.owner):
+        if awaited is not None and self.is_reachable(awaited.owner):
             self.temporary_routes[partition] = now + TEMPORARY_ROUTE_SECONDS
             return
         self.temporary_routes.pop(partition, None)
-        if partition in self.handed and self.answers(self.deciders[partition]):
+        if partition in self.handed_over and self.is_reachable(self.forward_targets[partition]):
             return
-        self.deciders[partition] = home
+        self.forward_targets[partition] = home
 
     def _await_or_acquire(self, partition: int, owner: NodeId | None, now: float) -> list[Acquired]:
         if owner is None or owner == self.node_id:
             return [Acquired(partition, Acquisition.FRESH, None)]
-        if not self.answers(owner):
+        if not self.is_reachable(owner):
             return [Acquired(partition, Acquisition.CRASH, owner)]
         self.await_owner(partition, owner, now)
         return []
@@ -225,7 +225,7 @@
             awaited.member_named = previous.member_named
             awaited.rounds_left = previous.rounds_left
         self.awaited[partition] = awaited
-        self.deciders[partition] = owner
+        self.forward_targets[partition] = owner
 
     def is_newcomer(self, now: float) -> bool:
         """Whether this node joined too recently to report that a partition has no owner."""
@@ -275,7 +275,7 @@
         the next candidate is awaited instead. Frozen partitions whose successor is down resume.
         """
         acquired: list[Acquired] = []
-        dead = [item for item, found in self.awaited.items() if not self.answers(found.owner)]
+        dead = [item for item, found in self.awaited.items() if not self.is_reachable(found.owner)]
         for partition in dead:
             awaited = self.awaited[partition]
             awaited.disclaimed.add(awaited.owner)
@@ -285,44 +285,44 @@
         acquired.extend(
             Acquired(partition, Acquisition.RESUMED, successor)
             for partition, successor in self.frozen.items()
-            if not self.answers(successor)
+            if not self.is_reachable(successor)
         )
         self._reroute_from_dead_nodes()
         return acquired
 
     def _reroute_from_dead_nodes(self) -> None:
         """Route packets to the home again where the node they were sent to is down."""
-        for remembered in (self.temporary_routes, self.handed):
+        for remembered in (self.temporary_routes, self.handed_over):
             for partition in list(remembered):
-                if partition in self.awaited or self.answers(self.deciders[partition]):
+                if partition in self.awaited or self.is_reachable(self.forward_targets[partition]):
                     continue
                 del remembered[partition]
-                self.deciders[partition] = self.homes[partition]
+                self.forward_targets[partition] = self.homes[partition]
 
     def own(self, acquired: Acquired, base: int, now: float) -> None:
         """Make this node the owner of a partition."""
         partition = acquired.partition
         self.awaited.pop(partition, None)
         self.frozen.pop(partition, None)
-        self.handed.pop(partition, None)
+        self.handed_over.pop(partition, None)
         self.temporary_routes.pop(partition, None)
         grace = now + GRACE_SECONDS if acquired.acquisition is Acquisition.TRANSFER else 0.0
         owned = OwnedPartition(base, now, acquired.acquisition, acquired.predecessor, grace)
         self.owned[partition] = owned
-        self.deciders[partition] = self.node_id
+        self.forward_targets[partition] = self.node_id
 
     def freeze(self, partition: int, successor: NodeId) -> None:
         """Stop deciding a partition whose HANDOVER mark is being sent."""
         self.owned.pop(partition, None)
         self.frozen[partition] = successor
-        self.deciders[partition] = successor
+        self.forward_targets[partition] = successor
 
     def release(self, partition: int, successor: NodeId, now: float) -> bool:
         """Complete an acknowledged handover; returns whether one to `successor` was open."""
         if self.frozen.get(partition) != successor:
             return False
         del self.frozen[partition]
-        self.handed[partition] = now + HANDED_OVER_SECONDS
+        self.handed_over[partition] = now + HANDED_OVER_SECONDS
         return True
 
     def handovers_due(self, now: float) -> dict[int, NodeId]:
@@ -334,7 +334,7 @@
         moves: dict[int, NodeId] = {}
         for partition, owned in self.owned.items():
             home = self.homes[partition]
-            if home is None or home == self.node_id or not self.answers(home):
+            if home is None or home == self.node_id or not self.is_reachable(home):
                 continue
             returned = home == owned.predecessor and owned.acquisition is not Acquisition.CRASH
             if not returned or now - owned.since >= RETURN_DELAY_SECONDS:
@@ -370,10 +370,10 @@
 
     def expire(self, now: float) -> None:
         """Drop temporary routes and completed handovers that have expired; route to the home."""
-        for partition in [item for item, until in self.handed.items() if until <= now]:
-            del self.handed[partition]
+        for partition in [item for item, until in self.handed_over.items() if until <= now]:
+            del self.handed_over[partition]
             if partition not in self.awaited:
-                self.deciders[partition] = self.homes[partition]
+                self.forward_targets[partition] = self.homes[partition]
         for partition in [item for item, until in self.temporary_routes.items() if until <= now]:
             del self.temporary_routes[partition]
-            self.deciders[partition] = self.homes[partition]
+            self.forward_targets[partition] = self.homes[partition]
--- a/src/beamloom/routing/replica_sender.py
+++ b/src/beamloom/routing/replica_sender.py
@@ -17,7 +17,7 @@
 from beamloom.routing.hashing import partition_of
 from beamloom.routing.home import Home
 from beamloom.routing.ownership import Ownership
-from beamloom.routing.streams import PartitionNote, StreamSet
+from beamloom.routing.streams import PartitionMarkEntry, StreamSet
 
 EXCEPTION_AGE_SECONDS = 1.5
 FLUSH_SECONDS = 0.5
@@ -42,13 +42,13 @@
         nodes = (placed.home, placed.first_replica, placed.second_replica)
         others = [node for node in nodes if node is not None and node != self._ownership.node_id]
         return tuple(
-            node for node in others[:HOLDERS_PER_PARTITION] if self._ownership.answers(node)
+            node for node in others[:HOLDERS_PER_PARTITION] if self._ownership.is_reachable(node)
         )
 
     def members_changed(self) -> None:
         """Send each owned partition in full to its new holders."""
         for peer in {peer for holders in self._holders.values() for peer in holders}:
-            if not self._ownership.answers(peer):
+            if not self._ownership.is_reachable(peer):
                 self.streams.forget(peer)
         owned = self._ownership.owned
         self._holders = {key: value for key, value in self._holders.items() if key in owned}
@@ -67,9 +67,9 @@
         records = self._home.records_of(partition)
         for holder in new:
             stream = self.streams.stream(holder)
-            stream.openings[partition] = PartitionNote(PartitionMark.BEGIN, base)
+            stream.openings[partition] = PartitionMarkEntry(PartitionMark.BEGIN, base)
             stream.records.update(records)
-            stream.closings[partition] = PartitionNote(PartitionMark.COMPLETE, base)
+            stream.closings[partition] = PartitionMarkEntry(PartitionMark.COMPLETE, base)
         self._mark_replicated(records)
 
     def base_advanced(self, partition: int, dropped: Iterable[int]) -> None:
--- a/src/beamloom/routing/replicas.py
+++ b/src/beamloom/routing/replicas.py
@@ -11,7 +11,7 @@
 
 from beamloom.model.machines import NodeId
 from beamloom.protocol.flow_messages import ENDED, PartitionMark
-from beamloom.routing.streams import PartitionNote
+from beamloom.routing.streams import PartitionMarkEntry
 
 
 @dataclass(slots=True)
@@ -66,7 +66,7 @@
         else:
             held.records[key] = backend_number
 
-    def apply_note(self, sender: NodeId, partition: int, note: PartitionNote) -> None:
+    def apply_note(self, sender: NodeId, partition: int, note: PartitionMarkEntry) -> None:
         """Apply a mark that concerns a whole partition."""
         held = self._held.setdefault(partition, HeldPartition(sender))
         if note.mark is PartitionMark.BEGIN:
--- a/src/beamloom/routing/services.py
+++ b/src/beamloom/routing/services.py
@@ -41,7 +41,7 @@
         return table
 
     @property
-    def binds_first(self) -> bool:
+    def requires_binding(self) -> bool:
         """Whether a flow must be bound at a replica before its first packet is sent.
 
         TCP needs no binding: a backend without the connection answers a misrouted segment with a
@@ -87,7 +87,9 @@
         self.meters: dict[str, TrafficMeter] = {}
         self.revision = 0
 
-    def numbers_lost(self, changed: Iterable[ServiceContract], removed: Iterable[int]) -> set[int]:
+    def removed_backends(
+        self, changed: Iterable[ServiceContract], removed: Iterable[int]
+    ) -> set[int]:
         """Return the numbers of the current backends that these changes would remove."""
         lost: set[int] = set()
         for contract in changed:
--- a/src/beamloom/routing/streams.py
+++ b/src/beamloom/routing/streams.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartitionNote:
+class PartitionMarkEntry:
     """A partition's mark in a batch, with the partition's base revision."""
 
     mark: PartitionMark
@@ -49,7 +49,7 @@
     """An unacknowledged batch; `closed` holds the partitions with a closing mark in it."""
 
     message: SynchronizationBatch
-    closed: dict[int, PartitionNote]
+    closed: dict[int, PartitionMarkEntry]
     resend_at: float
     resend_interval: float = FIRST_RESEND_SECONDS
 
@@ -62,9 +62,9 @@
     the closing mark it drops every record that was not sent again since the opening mark.
     """
 
-    openings: dict[int, PartitionNote] = field(default_factory=dict)
+    openings: dict[int, PartitionMarkEntry] = field(default_factory=dict)
     records: dict[int, int] = field(default_factory=dict)
-    closings: dict[int, PartitionNote] = field(default_factory=dict)
+    closings: dict[int, PartitionMarkEntry] = field(default_factory=dict)
     in_flight: InFlightBatch | None = None
 
     @property
@@ -83,7 +83,7 @@
         self,
         message_type: type[SynchronizationBatch],
         maximum_in_flight: int,
-        on_closing: Callable[[NodeId, dict[int, PartitionNote]], None] | None = None,
+        on_closing: Callable[[NodeId, dict[int, PartitionMarkEntry]], None] | None = None,
     ) -> None:
         self._message_type = message_type
         self._maximum_in_flight = maximum_in_flight
@@ -113,7 +113,7 @@
         """The number of queued records, without those in flight."""
         return sum(len(item.records) for item in self._streams.values())
 
-    def acknowledge(self, peer: NodeId, number: int) -> dict[int, PartitionNote]:
+    def acknowledge(self, peer: NodeId, number: int) -> dict[int, PartitionMarkEntry]:
         """Handle an acknowledgement; returns the partitions that the batch closed.
 
         Empty if the batch is not the one in flight.
@@ -144,7 +144,7 @@
         record_limit = 0 if stream.openings else (BATCH_BYTES - used) // RECORD.size
         keys = list(stream.records)[:record_limit]
         records = pack_records(FlowRecord(key, stream.records.pop(key)) for key in keys)
-        closed: dict[int, PartitionNote] = {}
+        closed: dict[int, PartitionMarkEntry] = {}
         remaining = BATCH_BYTES - used - len(records)
         if not stream.records and not stream.openings and remaining >= MAXIMUM_PACKED_BYTES:
             closed = _take_group(stream.closings)
@@ -165,7 +165,7 @@
     return (SendMessage(peer, batch.message),)
 
 
-def _take_group(notes: dict[int, PartitionNote]) -> dict[int, PartitionNote]:
+def _take_group(notes: dict[int, PartitionMarkEntry]) -> dict[int, PartitionMarkEntry]:
     """Remove and return the partitions that share the oldest note, as many as fit one set."""
     if not notes:
         return {}
@@ -175,7 +175,7 @@
     return {partition: notes.pop(partition) for partition in part}
 
 
-def _encode_group(group: dict[int, PartitionNote]) -> tuple[list[list[object]], int]:
+def _encode_group(group: dict[int, PartitionMarkEntry]) -> tuple[list[list[object]], int]:
     """Return the wire form of a group and its approximate size in bytes."""
     if not group:
         return [], 0
@@ -184,16 +184,16 @@
     return [[int(note.mark), note.base, packed]], len(packed) + GROUP_OVERHEAD
 
 
-def read_notes(groups: object) -> list[tuple[int, PartitionNote]]:
+def parse_partition_marks(groups: object) -> list[tuple[int, PartitionMarkEntry]]:
     """Parse marked groups of partitions; raises MalformedDatagramError."""
     if not isinstance(groups, list):
         raise MalformedDatagramError("partition notes are not a list")
-    notes: list[tuple[int, PartitionNote]] = []
+    notes: list[tuple[int, PartitionMarkEntry]] = []
     for group in groups:
         if not isinstance(group, list) or len(group) != 3 or not isinstance(group[1], int):
             raise MalformedDatagramError("a partition note is not [mark, base, partitions]")
         try:
-            note = PartitionNote(PartitionMark(group[0]), group[1])
+            note = PartitionMarkEntry(PartitionMark(group[0]), group[1])
         except ValueError as error:
             raise MalformedDatagramError(f"a partition note has mark {group[0]!r}") from error
         notes.extend((item, note) for item in unpack_partitions(group[2], PARTITION_COUNT))
--- a/src/beamloom/routing/transfers.py
+++ b/src/beamloom/routing/transfers.py
@@ -26,7 +26,7 @@
 from beamloom.routing.replica_sender import HOLDERS_PER_PARTITION, ReplicaSender
 from beamloom.routing.replicas import HeldPartition, ReplicaStore
 from beamloom.routing.selection import PlacementReason
-from beamloom.routing.streams import PartitionNote, StreamSet, read_notes
+from beamloom.routing.streams import PartitionMarkEntry, StreamSet, parse_partition_marks
 
 MAXIMUM_BATCHES_IN_FLIGHT = 4
 PLAN_INTERVAL_SECONDS = 0.5
@@ -80,7 +80,7 @@
         """Acquire the given partitions, and push the replicas of dead homes to the new homes."""
         self._now = now
         for peer in {*self._planned_handovers.values(), *self._ownership.frozen.values()}:
-            if not self._ownership.answers(peer):
+            if not self._ownership.is_reachable(peer):
                 self.streams.forget(peer)
         for item in acquired:
             self.acquire(item, now)
@@ -124,7 +124,7 @@
         ownership = self._ownership
         placed = ownership.map.holders(partition)
         nodes = (placed.home, placed.first_replica, placed.second_replica)
-        return ownership.node_id in nodes or not ownership.answers(held.home)
+        return ownership.node_id in nodes or not ownership.is_reachable(held.home)
 
     def _expect_pushes(self, item: Acquired, complete: bool) -> None:
         """Record which nodes may push replicas of a partition; `complete` if this one had all."""
@@ -135,7 +135,7 @@
         self._expected_pushers[item.partition] = frozenset(others[:HOLDERS_PER_PARTITION])
         self._pushed_by[item.partition] = {ownership.node_id} if complete else set()
 
-    def bindings_known(self, partition: int) -> bool:
+    def has_all_bindings(self, partition: int) -> bool:
         """Whether every node that may hold bindings of an owned partition has pushed them."""
         if self._ownership.owned[partition].acquisition is not Acquisition.CRASH:
             return True
@@ -146,16 +146,16 @@
         """Send the replicas held for dead homes to the new homes."""
         for partition, held in self._replicas.items():
             home = self._ownership.homes[partition]
-            if self._ownership.answers(held.home) or home is None:
+            if self._ownership.is_reachable(held.home) or home is None:
                 continue
-            if home == self._ownership.node_id or not self._ownership.answers(home):
+            if home == self._ownership.node_id or not self._ownership.is_reachable(home):
                 continue
             held.home = home
             stream = self.streams.stream(home)
             for key, number in held.records.items():
                 stream.records.setdefault(key, number)
             if held.complete and held.base is not None:
-                note = PartitionNote(PartitionMark.PUSHED, held.base)
+                note = PartitionMarkEntry(PartitionMark.PUSHED, held.base)
                 stream.closings.setdefault(partition, note)
             held.complete = False
 
@@ -185,13 +185,13 @@
             stream = self.streams.stream(peer)
             stream.records.update(self._home.records_of(partition))
             base = self._ownership.owned[partition].base
-            stream.closings[partition] = PartitionNote(PartitionMark.HANDOVER, base)
+            stream.closings[partition] = PartitionMarkEntry(PartitionMark.HANDOVER, base)
 
     def _cancel_handover(self, partition: int) -> None:
         peer = self._planned_handovers.pop(partition)
         self.streams.stream(peer).closings.pop(partition, None)
 
-    def _freeze(self, peer: NodeId, closed: dict[int, PartitionNote]) -> None:
+    def _freeze(self, peer: NodeId, closed: dict[int, PartitionMarkEntry]) -> None:
         """Freeze the partitions whose HANDOVER mark is in the batch about to be sent."""
         handed = [item for item, note in closed.items() if note.mark is PartitionMark.HANDOVER]
         for partition in handed:
@@ -226,7 +226,10 @@
         Every valid batch is acknowledged; a leaving node refuses transfers.
         """
         self._now = now
-        openings, closings = read_notes(message.openings), read_notes(message.closings)
+        openings, closings = (
+            parse_partition_marks(message.openings),
+            parse_partition_marks(message.closings),
+        )
         records = unpack_records(message.packed_records)
         refused = self._ownership.leaving and isinstance(message, TransferRecords)
         stream = (type(message), sender)
@@ -253,7 +256,9 @@
         elif number and isinstance(message, TransferRecords):
             self._home.add_records({key: number}, PlacementReason.TRANSFERRED, now)
 
-    def _apply_note(self, sender: NodeId, partition: int, note: PartitionNote, now: float) -> None:
+    def _apply_note(
+        self, sender: NodeId, partition: int, note: PartitionMarkEntry, now: float
+    ) -> None:
         """Apply the mark of a partition.
 
         A HANDOVER of a partition that this node owns follows a false suspicion of this node: the
@@ -292,8 +297,11 @@
         ownership = self._ownership
         if partition in ownership.owned or partition in ownership.frozen:
             return OwnershipStatus.OWNER, NO_OWNER
-        for candidate in (ownership.deciders[partition], ownership.previous_homes.get(partition)):
-            if candidate in {asking, ownership.node_id} or not ownership.answers(candidate):
+        for candidate in (
+            ownership.forward_targets[partition],
+            ownership.previous_homes.get(partition),
+        ):
+            if candidate in {asking, ownership.node_id} or not ownership.is_reachable(candidate):
                 continue
             return OwnershipStatus.ELSEWHERE, candidate or NO_OWNER
         if ownership.is_newcomer(now):
@@ -322,7 +330,7 @@
             awaited.only_newcomers_answered &= message.status == OwnershipStatus.NEWCOMER
             awaited.member_named |= bool(message.owner)
             known = {*awaited.disclaimed, self._ownership.node_id}
-            if message.owner not in known and self._ownership.answers(message.owner):
+            if message.owner not in known and self._ownership.is_reachable(message.owner):
                 self._ownership.await_owner(partition, message.owner, now)
             elif not self._ownership.await_next_candidate(partition, now):
                 acquisition = (
@@ -380,7 +388,7 @@
         for partition, dropped in self._home.advance_bases(some, now).items():
             self._sender.base_advanced(partition, dropped)
 
-    def nothing_left(self, now: float) -> bool:
+    def handover_complete(self, now: float) -> bool:
         """Whether a leaving node owns nothing more and has relayed for LEAVE_GRACE_SECONDS since.
 
         Without any node to hand over to, there is nothing to wait for.
--- a/tests/functional/test_membership.py
+++ b/tests/functional/test_membership.py
@@ -195,7 +195,7 @@
         self.assertNotIn(node(2), alone.view.members)
         fleet.do(node(0), alone.machines_listed([], [machine(1)], fleet.now))
         fleet.run(30.0)
-        self.assertTrue(alone.view.members[node(1)].answers)
+        self.assertTrue(alone.view.members[node(1)].is_reachable)
 
     def test_an_unreachable_seed_leaves_the_node_unsynchronized(self) -> None:
         fleet = Fleet(seed=14)
--- a/tests/unit/admission/test_limits.py
+++ b/tests/unit/admission/test_limits.py
@@ -62,7 +62,7 @@
         self.assertEqual(
             decisions[1:], [AdmissionDecision.ADMIT, AdmissionDecision.REFUSE_OPEN_FLOWS]
         )
-        admission.flow_closed("a")
+        admission.flow_ended("a")
         self.assertEqual(admission.admit_flow("a", 0.0).decision, AdmissionDecision.ADMIT)
 
     def test_smaller_share_keeps_open_flows(self) -> None:
--- a/tests/unit/routing/fleet.py
+++ b/tests/unit/routing/fleet.py
@@ -118,7 +118,7 @@
 
     # -- members -----------------------------------------------------------------------------
 
-    def add(self, *numbers: int, tell: bool = True) -> None:
+    def add(self, *numbers: int, update_members: bool = True) -> None:
         for number in numbers:
             made = machine(number)
             forwarder = Forwarder(made, b"key", (GATEWAY,), self.hooks)
@@ -128,10 +128,12 @@
                 budget = ControlBudget(made.node_id, self.now, self.bytes_per_second)
                 self._budgets[made.node_id] = budget
             self.members[made.node_id] = Member(made, MemberState.ALIVE, 0)
-        if tell:
-            self.tell()
+        if update_members:
+            self.update_member_lists()
 
-    def tell(self, only: Iterable[NodeId] | None = None, without: Iterable[NodeId] = ()) -> None:
+    def update_member_lists(
+        self, only: Iterable[NodeId] | None = None, without: Iterable[NodeId] = ()
+    ) -> None:
         """Send the member list, except members in `without`, to all nodes or to those in `only`."""
         lacking = set(without)
         members = [item for key, item in self.members.items() if key not in lacking]
@@ -142,25 +144,25 @@
     def set_state(self, node_id: NodeId, state: MemberState) -> None:
         self.members[node_id] = Member(self.members[node_id].machine, state, 1)
 
-    def crash(self, *node_ids: NodeId, tell: bool = True) -> None:
+    def crash(self, *node_ids: NodeId, update_members: bool = True) -> None:
         for node_id in node_ids:
             del self.nodes[node_id]
             self.set_state(node_id, MemberState.DEAD)
-        if tell:
-            self.tell()
+        if update_members:
+            self.update_member_lists()
 
     def leave(self, node_id: NodeId, limit: float = 60.0) -> bool:
         """Stop a node as planned; returns whether it completed its leave within `limit` seconds."""
         self.nodes[node_id].begin_leave(self.now)
         self.set_state(node_id, MemberState.LEAVING)
-        self.tell()
+        self.update_member_lists()
         end = self.now + limit
         while not self.nodes[node_id].leave_complete and self.now < end:
             self.run(0.5)
         complete = self.nodes[node_id].leave_complete
         del self.nodes[node_id]
         self.set_state(node_id, MemberState.LEFT)
-        self.tell()
+        self.update_member_lists()
         return complete
 
     def configure(self, *contracts: ServiceContract) -> None:
--- a/tests/unit/routing/test_balanced_requests.py
+++ b/tests/unit/routing/test_balanced_requests.py
@@ -16,7 +16,7 @@
 from beamloom.protocol.commands import Command, SendPacket
 from beamloom.routing.forwarder import Forwarder
 from beamloom.routing.hooks import AssumedHealth, PermissiveAdmission, RoutingHooks
-from beamloom.routing.ownership import ALONE_SECONDS
+from beamloom.routing.ownership import JOIN_WAIT_SECONDS
 from beamloom.standins.backend_model import BackendModel, BackendOptions
 from beamloom.standins.client_model import Outcome
 from beamloom.standins.client_request import RequestFlow, RequestOptions
@@ -41,7 +41,7 @@
         self.forwarder.update_services([service([[backend(1)]], policy=policy)], [], 0.0)
         self.forwarder.update_members([Member(machine(0), MemberState.ALIVE, 0)], 0.0)
         self._tick()
-        self.run(ALONE_SECONDS + 1.0)
+        self.run(JOIN_WAIT_SECONDS + 1.0)
         self.started = self.now
 
     def run_for(self, seconds: float) -> None:
--- a/tests/unit/routing/test_closed_flows.py
+++ b/tests/unit/routing/test_closed_flows.py
@@ -6,8 +6,8 @@
 
 from beamloom.model.machines import NodeId
 from beamloom.routing.hashing import flow_key, flow_seed, partition_of
-from beamloom.routing.home import CLOSED_SECONDS
-from beamloom.routing.ownership import ALONE_SECONDS
+from beamloom.routing.home import CLOSED_FLOW_SECONDS
+from beamloom.routing.ownership import JOIN_WAIT_SECONDS
 from tests.unit.routing.fleet import (
     ACK,
     FIN,
@@ -30,7 +30,7 @@
         self.fleet = Fleet()
         self.fleet.configure(service([[BACKEND]]))
         self.fleet.add(0)
-        self.fleet.run(ALONE_SECONDS + 0.5)
+        self.fleet.run(JOIN_WAIT_SECONDS + 0.5)
         self.node = self.fleet.nodes[NodeId("n0")]
 
     def client_sends(self, flags: int, payload: bytes = b"") -> None:
@@ -56,7 +56,7 @@
         self.assertEqual(self.open_flows(), 0)
         self.client_sends(ACK)
         self.client_sends(ACK, b"late")
-        self.fleet.run(CLOSED_SECONDS + 1.0)
+        self.fleet.run(CLOSED_FLOW_SECONDS + 1.0)
         self.assertEqual(len(self.node.table), 0)
         self.assertEqual(self.open_flows(), 0)
 
@@ -64,7 +64,7 @@
         self.open_flow()
         self.backend_sends(FIN)
         self.client_sends(ACK)
-        self.fleet.run(CLOSED_SECONDS + 1.0)
+        self.fleet.run(CLOSED_FLOW_SECONDS + 1.0)
         self.assertEqual(self.open_flows(), 1)
 
     def test_flow_is_counted_as_ended_once(self) -> None:
@@ -76,7 +76,7 @@
         other = tcp(CLIENT + 1, SYN)
         self.node.forward(other, GATEWAY, False, self.fleet.now)
         self.assertEqual(self.open_flows(), 1)
-        self.fleet.run(CLOSED_SECONDS + 1.0)
+        self.fleet.run(CLOSED_FLOW_SECONDS + 1.0)
         self.assertEqual(self.open_flows(), 1)
 
     def test_closed_flow_that_is_handed_over_is_counted_as_ended_once(self) -> None:
--- a/tests/unit/routing/test_flows_survive.py
+++ b/tests/unit/routing/test_flows_survive.py
@@ -7,7 +7,7 @@
 from beamloom.model.addresses import SocketAddress
 from beamloom.model.machines import MemberState, NodeId
 from beamloom.routing.hashing import PARTITION_COUNT
-from beamloom.routing.ownership import ALONE_SECONDS
+from beamloom.routing.ownership import JOIN_WAIT_SECONDS
 from tests.unit.routing.fleet import ACK, SYN, Fleet, backend, service, tcp
 
 FLOWS = 200
@@ -54,7 +54,7 @@
         fleet = Fleet()
         fleet.configure(service(OLD))
         fleet.add(0)
-        fleet.run(ALONE_SECONDS - 0.1)
+        fleet.run(JOIN_WAIT_SECONDS - 0.1)
         self.assertIsNone(fleet.send(tcp(1, SYN)))
         fleet.run(0.3)
         self.assertIsNotNone(fleet.send(tcp(1, SYN)))
@@ -63,7 +63,7 @@
         """Guards against a joining node that acquires partitions of other owners as FRESH."""
         fleet = started_fleet(0, 1, 2)
         flows = self.with_exceptions(fleet)
-        fleet.add(3, tell=False)
+        fleet.add(3, update_members=False)
         joiner = fleet.nodes[NodeId("n3")]
         joiner.update_members([fleet.members[NodeId("n3")]], fleet.now)
         fleet.run(0.5)
@@ -72,7 +72,7 @@
             [fleet.send(tcp(client, ACK, b"x"), NodeId("n3")) for client in flows],
             [None] * len(flows),
         )
-        fleet.tell()
+        fleet.update_member_lists()
         fleet.run(5.0)
         self.assert_one_owner(fleet)
         self.assertEqual(self.moved_flows(fleet, flows), [])
@@ -135,14 +135,14 @@
     def test_join_that_the_owners_learn_of_late(self) -> None:
         fleet = started_fleet(0, 1, 2)
         flows = self.with_exceptions(fleet)
-        fleet.add(3, tell=False)
-        fleet.tell([NodeId("n3")])
+        fleet.add(3, update_members=False)
+        fleet.update_member_lists([NodeId("n3")])
         fleet.run(3.0)
         self.assertEqual(self.moved_flows(fleet, flows), [])
-        fleet.tell([NodeId("n0")])
+        fleet.update_member_lists([NodeId("n0")])
         fleet.run(1.0)
         self.assertEqual(self.moved_flows(fleet, flows), [])
-        fleet.tell()
+        fleet.update_member_lists()
         fleet.run(5.0)
         self.assert_one_owner(fleet)
         self.assertEqual(self.moved_flows(fleet, flows), [])
@@ -150,10 +150,10 @@
     def test_join_that_the_joining_node_learns_of_last(self) -> None:
         fleet = started_fleet(0, 1, 2)
         flows = self.with_exceptions(fleet)
-        fleet.add(3, tell=False)
-        fleet.tell([NodeId("n0"), NodeId("n1"), NodeId("n2")])
+        fleet.add(3, update_members=False)
+        fleet.update_member_lists([NodeId("n0"), NodeId("n1"), NodeId("n2")])
         fleet.run(2.0)
-        fleet.tell()
+        fleet.update_member_lists()
         fleet.run(3.0)
         self.assert_one_owner(fleet)
         self.assertEqual(self.moved_flows(fleet, flows), [])
@@ -186,7 +186,7 @@
         flows = self.with_exceptions(fleet)
         fleet.nodes[NodeId("n1")].begin_leave(fleet.now)
         fleet.set_state(NodeId("n1"), MemberState.LEAVING)
-        fleet.tell()
+        fleet.update_member_lists()
         fleet.run(0.05)
         fleet.crash(NodeId("n1"))
         fleet.run(1.0)
--- a/tests/unit/routing/test_forwarder.py
+++ b/tests/unit/routing/test_forwarder.py
@@ -11,7 +11,7 @@
 
 from beamloom.model.machines import NodeId
 from beamloom.protocol.flow_messages import ReplicaRecords, TransferRecords
-from beamloom.routing.answers import MAXIMUM_SET_SIZE, ROTATION_SECONDS, RelayedFlows
+from beamloom.routing.cache_answers import MAXIMUM_SET_SIZE, ROTATION_SECONDS, RelayedFlows
 from beamloom.routing.explanation import FlowRole
 from beamloom.routing.hooks import (
     AssumedHealth,
@@ -19,7 +19,7 @@
     RoutingHooks,
     SilentRefusal,
 )
-from beamloom.routing.ownership import ALONE_SECONDS
+from beamloom.routing.ownership import JOIN_WAIT_SECONDS
 from beamloom.routing.packet import DropReason, parse_packet, with_hop_limit_decremented
 from tests.unit.routing.fleet import (
     ACK,
@@ -40,7 +40,7 @@
     fleet = Fleet()
     fleet.configure(service(BACKENDS), service([[backend(8)]], number=2))
     fleet.add(*numbers)
-    fleet.run(ALONE_SECONDS + 0.5)
+    fleet.run(JOIN_WAIT_SECONDS + 0.5)
     return fleet
 
 
--- a/tests/unit/routing/test_ownership_machine.py
+++ b/tests/unit/routing/test_ownership_machine.py
@@ -61,15 +61,15 @@
     @precondition(lambda self: len(self.fleet.nodes) < MAXIMUM_NODES)
     @rule(tell=st.booleans())
     def join(self, tell: bool) -> None:
-        self.fleet.add(self.joined, tell=tell)
+        self.fleet.add(self.joined, update_members=tell)
         if not tell:
-            self.fleet.tell(sorted(self.fleet.nodes)[-1:])
+            self.fleet.update_member_lists(sorted(self.fleet.nodes)[-1:])
         self.joined += 1
 
     @rule(position=st.integers(0, MAXIMUM_NODES))
     def update_one_member_list(self, position: int) -> None:
         nodes = sorted(self.fleet.nodes)
-        self.fleet.tell([nodes[position % len(nodes)]])
+        self.fleet.update_member_lists([nodes[position % len(nodes)]])
 
     @precondition(lambda self: len(self.fleet.nodes) > 2)
     @rule(position=st.integers(0, MAXIMUM_NODES))
@@ -81,7 +81,7 @@
     @rule(position=st.integers(0, MAXIMUM_NODES))
     def crash(self, position: int) -> None:
         """Crash a node after all have had time to replicate their exceptions."""
-        self.fleet.tell()
+        self.fleet.update_member_lists()
         self.fleet.run(REPLICA_SECONDS if self.fleet.loss else 4.0)
         nodes = sorted(self.fleet.nodes)
         self.fleet.crash(nodes[position % len(nodes)])
@@ -96,7 +96,7 @@
         self.fleet.configure(service(self.generations))
 
     def teardown(self) -> None:
-        self.fleet.tell()
+        self.fleet.update_member_lists()
         self.fleet.run(20.0)
         for client, address in self.flows.items():
             assert self.fleet.reach(client) == address, client
--- a/tests/unit/routing/test_openings.py
+++ b/tests/unit/routing/test_packet_buffers.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from beamloom.routing.openings import (
+from beamloom.routing.packet_buffers import (
     MAXIMUM_OPENING_BYTES,
     MAXIMUM_OPENING_PACKETS,
     OpeningPacketBuffer,
--- a/tests/unit/routing/test_requests.py
+++ b/tests/unit/routing/test_requests.py
@@ -15,12 +15,12 @@
 from beamloom.routing.hashing import partition_of
 from beamloom.routing.hooks import (
     AssumedHealth,
-    FlowVerdict,
+    FlowAdmission,
     PermissiveAdmission,
     RoutingHooks,
     SilentRefusal,
 )
-from beamloom.routing.ownership import ALONE_SECONDS
+from beamloom.routing.ownership import JOIN_WAIT_SECONDS
 from beamloom.routing.packet import DropReason
 from tests.unit.routing.fleet import (
     ACK,
@@ -55,8 +55,8 @@
 class ClosedGate(PermissiveAdmission):
     """Admits no flow and allows no retry."""
 
-    def admit_flow(self, service: ServiceContract, now: float) -> FlowVerdict:
-        return FlowVerdict(admitted=False)
+    def admit_flow(self, service: ServiceContract, now: float) -> FlowAdmission:
+        return FlowAdmission(admitted=False)
 
     def take_retry(self, service: ServiceContract, now: float) -> bool:
         return False
@@ -109,7 +109,7 @@
 
     def test_a_lone_node_forwards_without_a_binding(self) -> None:
         fleet = fleet_of(0, contract=service(BACKENDS, TransportProtocol.UDP, NEVER))
-        fleet.run(ALONE_SECONDS)
+        fleet.run(JOIN_WAIT_SECONDS)
         self.assertIsNotNone(fleet.send(udp(1)))
 
     def test_a_bound_request_keeps_its_backend_after_its_home_crashed(self) -> None:
--- a/tests/unit/routing/test_streams.py
+++ b/tests/unit/routing/test_streams.py
@@ -24,11 +24,11 @@
     unpack_partitions,
 )
 from beamloom.routing.hashing import PARTITION_COUNT
-from beamloom.routing.streams import PartitionNote, StreamSet
+from beamloom.routing.streams import PartitionMarkEntry, StreamSet
 
 PEER = NodeId("peer")
-BEGIN = PartitionNote(PartitionMark.BEGIN, 10**9)
-COMPLETE = PartitionNote(PartitionMark.COMPLETE, 10**9)
+BEGIN = PartitionMarkEntry(PartitionMark.BEGIN, 10**9)
+COMPLETE = PartitionMarkEntry(PartitionMark.COMPLETE, 10**9)
 
 
 def batches(commands: list[Command]) -> list[SynchronizationBatch]:
--- a/tests/unit/routing/test_transfers.py
+++ b/tests/unit/routing/test_transfers.py
@@ -45,10 +45,10 @@
                 fleet = self.started(settle)
                 fleet.add(3)
                 self.run_with_one_owner(fleet, 5.0)
-                fleet.add(4, tell=False)
-                fleet.tell([N4], without=[N3])
+                fleet.add(4, update_members=False)
+                fleet.update_member_lists([N4], without=[N3])
                 self.run_with_one_owner(fleet, 8.0)
-                fleet.tell()
+                fleet.update_member_lists()
                 self.run_with_one_owner(fleet, 8.0)
                 self.assert_all_owned(fleet)
 
@@ -57,22 +57,22 @@
         for settle in (5.0, NEWCOMER_SECONDS + 5.0):
             with self.subTest(settle=settle):
                 fleet = self.started(settle)
-                fleet.add(3, tell=False)
-                fleet.tell([N3])
+                fleet.add(3, update_members=False)
+                fleet.update_member_lists([N3])
                 self.run_with_one_owner(fleet, 1.5)
                 fleet.nodes[N1].begin_leave(fleet.now)
                 fleet.set_state(N1, MemberState.LEAVING)
-                fleet.tell([N0, N1, N2], without=[N3])
-                fleet.tell([N3])
+                fleet.update_member_lists([N0, N1, N2], without=[N3])
+                fleet.update_member_lists([N3])
                 self.run_with_one_owner(fleet, 1.0)
                 left = fleet.nodes[N1].snapshot()
                 self.assertEqual(left.partitions_owned + left.partitions_frozen, 0)
                 del fleet.nodes[N1]
                 fleet.set_state(N1, MemberState.LEFT)
-                fleet.tell([N0, N2], without=[N3])
-                fleet.tell([N3])
+                fleet.update_member_lists([N0, N2], without=[N3])
+                fleet.update_member_lists([N3])
                 self.run_with_one_owner(fleet, 4.0)
-                fleet.tell()
+                fleet.update_member_lists()
                 self.run_with_one_owner(fleet, 8.0)
                 self.assert_all_owned(fleet)
 
@@ -82,11 +82,11 @@
         fleet.add(3)
         fleet.run(6.0)
         node = fleet.nodes[N0].ownership
-        handed = [item for item in node.handed if node.deciders[item] == N3]
+        handed = [item for item in node.handed_over if node.forward_targets[item] == N3]
         fleet.add(4)
         self.assertTrue(fleet.leave(N3))
         self.assertTrue([item for item in handed if node.homes[item] == N4])
-        lost = [item for item in handed if not node.answers(node.deciders[item])]
+        lost = [item for item in handed if not node.is_reachable(node.forward_targets[item])]
         self.assertEqual(lost, [])
 
     def test_leaving_node_is_not_offered_partitions_that_it_handed_over(self) -> None:
@@ -112,10 +112,10 @@
         fleet.run(4.0)
         for _ in range(2):
             fleet.set_state(N1, MemberState.DEAD)
-            fleet.tell([N0, N2])
+            fleet.update_member_lists([N0, N2])
             fleet.run(1.0)
             fleet.set_state(N1, MemberState.ALIVE)
-            fleet.tell()
+            fleet.update_member_lists()
             fleet.run(8.0)
         fleet.crash(N1)
         fleet.run(1.0)
@@ -146,19 +146,19 @@
         fleet.configure(service(CHANGED))
         fleet.add(3)
         self.run_with_one_owner(fleet, 0.3)
-        fleet.add(4, tell=False)
-        fleet.tell([N4, N0])
+        fleet.add(4, update_members=False)
+        fleet.update_member_lists([N4, N0])
         self.run_with_one_owner(fleet, 0.3)
         fleet.nodes[N1].begin_leave(fleet.now)
         fleet.set_state(N1, MemberState.LEAVING)
-        fleet.tell([N1, N2])
+        fleet.update_member_lists([N1, N2])
         self.run_with_one_owner(fleet, 2.0)
-        fleet.tell()
+        fleet.update_member_lists()
         self.run_with_one_owner(fleet, 20.0)
         self.assertTrue(fleet.nodes[N1].leave_complete)
         del fleet.nodes[N1]
         fleet.set_state(N1, MemberState.LEFT)
-        fleet.tell()
+        fleet.update_member_lists()
         self.run_with_one_owner(fleet, 5.0)
         self.assert_all_owned(fleet)
         sent = {client: fleet.send(tcp(client, ACK, b"x")) for client in flows}
