--- a/src/beamloom/replication/applied_state.py
+++ b/src/beamloom/replication/applied_state.py
@@ -34,7 +34,7 @@
         """Replace the state by that of a verified snapshot, which must be newer."""
         if state.revision <= self.revision:
             raise ValueError(
-                f"snapshot {state.revision} is not newer than revision {self.revision}"
+                f"snapshot {state.revision} is not newer; keep the applied revision {self.revision}"
             )
         self._unseen.extend(self.state.difference(state.revision, state.objects.values()).objects)
         self.state = state
--- a/src/beamloom/replication/configuration_state.py
+++ b/src/beamloom/replication/configuration_state.py
@@ -28,7 +28,7 @@
 
 
 class SnapshotCorruptError(Exception):
-    """A snapshot does not match its digest or cannot be decoded."""
+    """A snapshot does not match its digest or cannot be decoded; fetch it from another peer."""
 
 
 def is_replicated(key: str) -> bool:
@@ -53,7 +53,8 @@
         """Apply one change; raises ValueError unless it follows the current revision."""
         if not change.follows(self.revision):
             raise ValueError(
-                f"change {change.revision} does not follow revision {self.revision} of this state"
+                f"change {change.revision} does not follow revision {self.revision};"
+                " pull the changes between them first"
             )
         for stored in change.objects:
             if stored.value is None:
@@ -114,11 +115,15 @@
     def decode(cls, data: bytes, digest: bytes) -> ConfigurationState:
         """Return the state of a snapshot; raises SnapshotCorruptError unless it is intact."""
         if snapshot_digest(data) != digest:
-            raise SnapshotCorruptError("the snapshot does not match its digest")
+            raise SnapshotCorruptError(
+                "the snapshot does not match its digest; fetch it again from another peer"
+            )
         try:
             return cls._decode(cbor2.loads(_decompress(data)))
         except (ValueError, TypeError, IndexError, zlib.error, cbor2.CBORDecodeError) as error:
-            raise SnapshotCorruptError(f"{error}; the snapshot cannot be decoded") from error
+            raise SnapshotCorruptError(
+                f"{error}; the snapshot cannot be decoded: fetch it again from another peer"
+            ) from error
 
     @classmethod
     def _decode(cls, parts: list[Any]) -> ConfigurationState:
--- a/src/beamloom/routing/deadlines.py
+++ b/src/beamloom/routing/deadlines.py
@@ -13,7 +13,7 @@
 
 
 class DeadlineCapacityError(Exception):
-    """The wheel holds as many deadlines as its capacity allows."""
+    """The wheel is full; the remedy is to refuse the flow or to raise the wheel's capacity."""
 
 
 class DeadlineWheel:
@@ -34,7 +34,7 @@
         self.cancel(flow_key)
         if len(self._ticks) >= self._capacity:
             raise DeadlineCapacityError(
-                f"deadline wheel is full: {self._capacity} deadlines are scheduled"
+                f"{self._capacity} deadlines are scheduled; refuse the flow or raise the capacity"
             )
         tick = max(math.ceil(at / TICK_SECONDS), self._last_tick + 1)
         self._ticks[flow_key] = tick
--- a/src/beamloom/routing/home_packets.py
+++ b/src/beamloom/routing/home_packets.py
@@ -174,14 +174,14 @@
 
     def _place_new(self, packet: ClientFlowPacket, now: float) -> Decision:
         contract = packet.service.contract
-        verdict = self._hooks.admission.admit_flow(contract, now)
-        if not verdict.admitted:
-            refusal = self._hooks.refusals.build(packet.data, verdict.retry_after, False)
+        admission = self._hooks.admission.admit_flow(contract, now)
+        if not admission.admitted:
+            refusal = self._hooks.refusals.build(packet.data, admission.retry_after, False)
             return Decision(refusal=refusal, drop=DropReason.REFUSED)
         choice = self._home.choose(packet.key, packet.service, now)
         if choice.backend_number == NO_CANDIDATE:
             self._hooks.admission.flow_ended(contract)
-            refusal = self._hooks.refusals.build(packet.data, verdict.retry_after, True)
+            refusal = self._hooks.refusals.build(packet.data, admission.retry_after, True)
             return Decision(refusal=refusal, drop=DropReason.NO_BACKEND)
         self._counters["flows_placed"] += 1
         return self._enter(packet, choice, now)
--- a/src/beamloom/routing/tokens/backend_fields.py
+++ b/src/beamloom/routing/tokens/backend_fields.py
@@ -29,10 +29,10 @@
 
 
 class BackendFieldError(ValueError):
-    """A field of a store entry is missing or invalid."""
+    """A field of a store entry is missing or invalid; its writer must correct the entry."""
 
     def __init__(self, field: str, value: object) -> None:
-        super().__init__(f"{field} = {value!r:.80}: whoever writes this entry must correct it")
+        super().__init__(f"{field} = {value!r:.80}: the writer of this entry must correct it")
 
 
 def read_backend(name: str, fields: Mapping[str, object]) -> BackendRecord:
--- a/src/beamloom/routing/tokens/liveness.py
+++ b/src/beamloom/routing/tokens/liveness.py
@@ -16,7 +16,7 @@
 MAXIMUM_CONCURRENT_CHECKS = 8
 """Each check uses a file descriptor and processor time."""
 MAXIMUM_QUEUED_CHECKS = 256
-"""Exceeds the backends in two zones of the largest simulated deployments."""
+"""Exceeds the backends of two zones of a large deployment."""
 RECHECK_SECONDS = 0.5
 """Initial time until a backend is checked again; doubled by each check with the same result."""
 MAXIMUM_RECHECK_SECONDS = 2.0
