--- a/src/beamloom/fuzzing/errors.py
+++ b/src/beamloom/fuzzing/errors.py
@@ -1,32 +1,32 @@
-"""Errors of fuzzing; each message names the remedy."""
+"""Errors of fuzzing."""
 
 from __future__ import annotations
 
 
 class FuzzingError(Exception):
-    """A search or replay that could not be run."""
+    """A search or replay could not be run; the message names the remedy."""
 
 
 class HypothesisMissingError(FuzzingError):
-    """The library that draws the steps is not installed."""
+    """The optional dependency hypothesis is not installed."""
 
     def __init__(self) -> None:
         super().__init__(
-            "searching needs hypothesis, which is not installed: "
+            "the search needs hypothesis, which is not installed: "
             "install beamloom with its extra, pip install 'beamloom[fuzzing]'; "
-            "replaying a token works without"
+            "replaying a token does not need hypothesis"
         )
 
 
 class ReplayTokenError(FuzzingError):
-    """A token that cannot be replayed."""
+    """A token cannot be replayed."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
-            f"{detail}: give the whole token that `beamloom fuzz` printed, "
+            f"{detail}: pass the whole token that `beamloom fuzz` printed, "
             "to the version of beamloom that printed it"
         )
 
 
-class BrokenPromiseError(Exception):
-    """The oracle of a subject saw something that must never be."""
+class InvariantViolationError(Exception):
+    """A subject does not behave as its oracle requires."""
--- a/src/beamloom/fuzzing/subjects/__init__.py
+++ b/src/beamloom/fuzzing/subjects/__init__.py
@@ -1,1 +1,1 @@
-"""What can be fuzzed, each against a simple oracle."""
+"""Subjects of fuzzing, each checked against an oracle."""
--- a/src/beamloom/fuzzing/subjects/codec.py
+++ b/src/beamloom/fuzzing/subjects/codec.py
@@ -1,4 +1,4 @@
-"""Every parser of bytes from outside: it returns, or raises an error of its own kind."""
+"""Checks that parsers of untrusted bytes raise only the errors that they declare."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import Any
 
-from beamloom.fuzzing.errors import BrokenPromiseError
+from beamloom.fuzzing.errors import InvariantViolationError
 from beamloom.node.view_codecs import BACKEND_CODEC, ConfigurationCodec
 from beamloom.object_api.errors import PlatformError
 from beamloom.object_api.wire import (
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Parser:
-    """One parser and the kinds of errors that it may raise, alone or in groups."""
+    """A parser and the types of errors that it may raise, alone or in exception groups."""
 
     parse: Callable[[bytes], object]
     errors: tuple[type[Exception], ...]
@@ -48,16 +48,16 @@
     return with_hop_limit_decremented(data)
 
 
-def _signed_datagram(body: bytes) -> object:
+def _decode_signed_datagram(body: bytes) -> object:
     return decode_datagram(KEYS, body + KEYS.sign(body))
 
 
-def _settings_file(check: Callable[[TomlSource], object], data: bytes) -> object:
+def _check_settings_file(check: Callable[[TomlSource], object], data: bytes) -> object:
     return check(parse_toml(data.decode(errors="replace")))
 
 
-def _platform_answer(reader: Callable[[dict[str, Any]], object], data: bytes) -> object:
-    """Read a body as the client does after its HTTP library took the JSON apart."""
+def _read_platform_answer(reader: Callable[[dict[str, Any]], object], data: bytes) -> object:
+    """Read the decoded JSON of an answer as the client does; ignore bodies that are not JSON."""
     try:
         body = json.loads(data)
     except (ValueError, RecursionError):
@@ -68,11 +68,11 @@
 PARSERS: dict[str, Parser] = {
     "packet": Parser(_forward_packet, (PacketError,)),
     "control-datagram": Parser(partial(decode_datagram, KEYS), (ProtocolError,)),
-    "signed-control-datagram": Parser(_signed_datagram, (ProtocolError,)),
+    "signed-control-datagram": Parser(_decode_signed_datagram, (ProtocolError,)),
     "flow-records": Parser(unpack_records, (ProtocolError,)),
     "partition-set": Parser(partial(unpack_partitions, limit=PARTITION_COUNT), (ProtocolError,)),
-    "node-settings": Parser(partial(_settings_file, check_node_settings), (SettingsError,)),
-    "deployment": Parser(partial(_settings_file, check_deployment), (SettingsError,)),
+    "node-settings": Parser(partial(_check_settings_file, check_node_settings), (SettingsError,)),
+    "deployment": Parser(partial(_check_settings_file, check_deployment), (SettingsError,)),
     "token-packet": Parser(packet_layout.parse_packet, ()),
     "flow-packet": Parser(flow_packets.decode_packet, ()),
     "forwarded-packet": Parser(flow_packets.decode_forwarded, ()),
@@ -87,26 +87,28 @@
         (ValueError,),
     ),
     "secret": Parser(store_objects.read_secret, (ValueError,)),
-    "platform-listing": Parser(partial(_platform_answer, listing_from_json), (PlatformError,)),
-    "platform-reading": Parser(partial(_platform_answer, reading_from_json), (PlatformError,)),
-    "platform-watch": Parser(partial(_platform_answer, batch_from_json), (PlatformError,)),
-    "platform-machines": Parser(partial(_platform_answer, machines_from_json), (PlatformError,)),
+    "platform-listing": Parser(partial(_read_platform_answer, listing_from_json), (PlatformError,)),
+    "platform-reading": Parser(partial(_read_platform_answer, reading_from_json), (PlatformError,)),
+    "platform-watch": Parser(partial(_read_platform_answer, batch_from_json), (PlatformError,)),
+    "platform-machines": Parser(
+        partial(_read_platform_answer, machines_from_json), (PlatformError,)
+    ),
 }
 
 
 class CodecSubject:
-    """Feeds bytes to parsers; an error of another kind than the parser's own is a failure."""
+    """Passes bytes to parsers; an error that is not one of `Parser.errors` is a failure."""
 
     def __init__(self) -> None:
         self._actions = {"parse": self._parse}
 
     @property
     def actions(self) -> Mapping[str, Callable[..., object]]:
-        """The one thing that can be done: give a parser bytes, in hexadecimal."""
+        """The only action, `parse`, passes bytes (in hexadecimal) to a parser."""
         return self._actions
 
     def finish(self) -> None:
-        """Do nothing: parsers keep no state."""
+        """Do nothing, as parsers keep no state."""
 
     def _parse(self, parser: str, data: str) -> None:
         chosen = PARSERS[parser]
@@ -115,9 +117,9 @@
         except chosen.errors:
             return
         except ExceptionGroup as group:
-            _, foreign = group.split(chosen.errors)
-            if foreign is not None:
-                raise BrokenPromiseError(f"{parser} raised {foreign!r}") from group
+            _, unexpected = group.split(chosen.errors)
+            if unexpected is not None:
+                raise InvariantViolationError(f"{parser} raised {unexpected!r}") from group
         except Exception as error:
             kind = type(error).__name__
-            raise BrokenPromiseError(f"{parser} raised {kind}: {error}") from error
+            raise InvariantViolationError(f"{parser} raised {kind}: {error}") from error
--- a/src/beamloom/fuzzing/subjects/flow_table.py
+++ b/src/beamloom/fuzzing/subjects/flow_table.py
@@ -1,11 +1,11 @@
-"""The flow table against a plain dict."""
+"""Checks the flow table against a dict."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from beamloom.fuzzing.errors import BrokenPromiseError
+from beamloom.fuzzing.errors import InvariantViolationError
 from beamloom.routing.flow_table import SWEEP_ROWS, FlowTable
 from beamloom.routing.hashing import PARTITION_MASK
 
@@ -19,7 +19,7 @@
 
 
 class FlowTableSubject:
-    """Inserts, removes, expires and scans flows; keys are few, so that rows are reused."""
+    """Inserts, removes, expires and scans flows, and compares all entries after each change."""
 
     def __init__(self) -> None:
         self._table = FlowTable()
@@ -27,7 +27,7 @@
 
     @property
     def actions(self) -> Mapping[str, Callable[..., object]]:
-        """What can be done to the table."""
+        """The operations of the table."""
         return {
             "insert": self._insert,
             "remove": self._remove,
@@ -37,7 +37,7 @@
         }
 
     def finish(self) -> None:
-        """Compare every entry."""
+        """Compare all entries."""
         self._compare()
 
     def _insert(self, key: int, backend: int, flags: int, deadline: float, now: float) -> None:
@@ -51,23 +51,23 @@
         self._compare()
 
     def _expire(self, now: float) -> None:
-        """Take out what has expired; one sweep sees the whole table while it is small."""
+        """Remove the expired entries; they are checked while one sweep can cover the table."""
         expired = self._table.expired(now)
         due = {key for key, entry in self._model.items() if entry.deadline <= now}
         if len(self._model) < SWEEP_ROWS:
-            _expect("expired", sorted(due), sorted(expired))
+            _check_equal("expired", sorted(due), sorted(expired))
         for key in expired:
             self._remove(key)
 
     def _scan_partition(self, partition: int) -> None:
         found = sorted(key for key, _ in self._table.rows_in([partition]))
-        wanted = sorted(key for key in self._model if key & PARTITION_MASK == partition)
-        _expect("rows of a partition", wanted, found)
+        expected = sorted(key for key in self._model if key & PARTITION_MASK == partition)
+        _check_equal("rows of a partition", expected, found)
 
     def _scan_backend(self, backend: int) -> None:
         found = sorted(self._table.keys_with_backends([backend]))
-        wanted = sorted(key for key, entry in self._model.items() if entry.backend == backend)
-        _expect("flows of a backend", wanted, found)
+        expected = sorted(key for key, entry in self._model.items() if entry.backend == backend)
+        _check_equal("flows of a backend", expected, found)
 
     def _compare(self) -> None:
         table = self._table
@@ -77,10 +77,10 @@
             )
             for key, row in table.items()
         }
-        _expect("entries", self._model, found)
-        _expect("length", len(self._model), len(table))
+        _check_equal("entries", self._model, found)
+        _check_equal("length", len(self._model), len(table))
 
 
-def _expect(what: str, wanted: object, found: object) -> None:
-    if wanted != found:
-        raise BrokenPromiseError(f"{what}: expected {wanted!r}, found {found!r}")
+def _check_equal(what: str, expected: object, found: object) -> None:
+    if expected != found:
+        raise InvariantViolationError(f"{what}: expected {expected!r}, found {found!r}")
--- a/src/beamloom/fuzzing/subjects/settings.py
+++ b/src/beamloom/fuzzing/subjects/settings.py
@@ -1,4 +1,4 @@
-"""The settings tree in a compiled configuration against a plain dict of overrides."""
+"""Checks the effective settings of a configuration against a dict of overrides."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from beamloom.fuzzing.errors import BrokenPromiseError
+from beamloom.fuzzing.errors import InvariantViolationError
 from beamloom.protocol.events import StoredObject
 from beamloom.settings.configuration import Configuration
 from beamloom.settings.declarations import DECLARATIONS, SettingDeclaration, SettingType
@@ -17,18 +17,18 @@
 
 
 class SettingsSubject:
-    """Operators write, change and delete overrides; each effective value is checked after."""
+    """Writes and deletes overrides, and checks all effective values after each change."""
 
     def __init__(self) -> None:
         self._configuration = Configuration()
         self._stored: dict[Scope, dict[str, Any]] = {}
         self._created: dict[Scope, int] = {}
-        self._since: dict[Scope, int] = {}
+        self._revisions: dict[Scope, int] = {}
         self._revision = 0
 
     @property
     def actions(self) -> Mapping[str, Callable[..., object]]:
-        """What operators can do, and a late copy of an old change."""
+        """Changes by operators, and the delivery of an outdated change."""
         return {
             "set_value": self._set_value,
             "clear_value": self._clear_value,
@@ -37,12 +37,12 @@
         }
 
     def finish(self) -> None:
-        """Compile the same objects anew: the way by which they were learnt must not matter."""
+        """Load the stored objects as a snapshot and check that it yields the same values."""
         objects = [
             StoredObject(
                 scope.object_key,
                 {"values": dict(values)},
-                self._since[scope],
+                self._revisions[scope],
                 self._created[scope],
             )
             for scope, values in self._stored.items()
@@ -65,7 +65,7 @@
             self._write(SCOPES[scope], None)
 
     def _repeat_old_change(self, scope: int, override: tuple[int, object]) -> None:
-        """Deliver a change from before everything in force; it must be ignored."""
+        """Apply a change that is older than the latest one; it must be ignored."""
         name, value = override
         if self._revision > 1:
             values = {"values": {NAMES[name]: value}}
@@ -75,7 +75,7 @@
 
     def _write(self, scope: Scope, values: dict[str, Any] | None) -> None:
         self._revision += 1
-        self._since[scope] = self._revision
+        self._revisions[scope] = self._revision
         created = self._created.setdefault(scope, self._revision)
         if values is None:
             del self._stored[scope], self._created[scope]
@@ -91,21 +91,21 @@
                 declaration = DECLARATIONS[name]
                 if scope.level in declaration.levels:
                     found = configuration.effective_setting(scope, name)
-                    wanted = self._expected(scope, declaration)
-                    if (found.value, found.since_revision) != wanted:
-                        raise BrokenPromiseError(
-                            f"{when}, {name} at {scope}: expected {wanted!r}, "
+                    expected = self._expected(scope, declaration)
+                    if (found.value, found.since_revision) != expected:
+                        raise InvariantViolationError(
+                            f"{when}, {name} at {scope}: expected {expected!r}, "
                             f"found {(found.value, found.since_revision)!r}"
                         )
 
     def _expected(self, scope: Scope, declaration: SettingDeclaration) -> tuple[object, int]:
-        """Return the nearest usable override upwards and its revision, or the default and 0."""
-        for place in (scope, *_parents(scope)):
-            values = self._stored.get(place, {})
-            if place.level in declaration.levels and declaration.name in values:
+        """Return the value and revision of the nearest valid override, or the default and 0."""
+        for ancestor in (scope, *_parents(scope)):
+            values = self._stored.get(ancestor, {})
+            if ancestor.level in declaration.levels and declaration.name in values:
                 value = values[declaration.name]
-                if _is_usable(declaration, value):
-                    return value, self._since[place]
+                if _is_valid(declaration, value):
+                    return value, self._revisions[ancestor]
         return declaration.default, 0
 
 
@@ -115,8 +115,8 @@
     return (Scope(),) if scope.tenant is not None else ()
 
 
-def _is_usable(declaration: SettingDeclaration, value: object) -> bool:
-    """Whether a stored value has the declared type and bounds, stated anew for the oracle."""
+def _is_valid(declaration: SettingDeclaration, value: object) -> bool:
+    """Whether a value has the declared type and bounds, without use of the code under test."""
     match declaration.value_type:
         case SettingType.BOOLEAN:
             return isinstance(value, bool)
--- a/src/beamloom/fuzzing/subjects/store.py
+++ b/src/beamloom/fuzzing/subjects/store.py
@@ -1,4 +1,4 @@
-"""Operators' conditional writes under store faults against the store's own history."""
+"""Checks the outcomes of operators' writes under store faults against the store's changes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import Any
 
-from beamloom.fuzzing.errors import BrokenPromiseError
+from beamloom.fuzzing.errors import InvariantViolationError
 from beamloom.object_api.errors import ObjectNotFoundError, PlatformError
 from beamloom.object_api.operator import AcceptedWrite, OperatorWriter, WriteUnresolvedError
 from beamloom.object_api.retry import Retrier, RetryPolicy
@@ -20,15 +20,15 @@
 
 KEYS = ("tenant/a", "tenant/b")
 MARK = "mark"
-"""The field by which the oracle tells one write from another."""
-QUIET_SECONDS = 120.0
-"""How long the end of a run waits for writes in progress."""
+"""The field that holds the number of the write, for the oracle."""
+SETTLE_SECONDS = 120.0
+"""Virtual time for writes in progress to end after the last step."""
 Value = dict[str, Any]
 
 
 @dataclass(slots=True)
 class _Write:
-    """One operator's write and what the operator was told."""
+    """One operator's write and its outcome; `refused` is the error of any write that failed."""
 
     number: int
     key: str
@@ -39,34 +39,34 @@
 
 @dataclass(slots=True)
 class _History:
-    """Every change of the store in order, kept apart from the store's own."""
+    """Changes of the store in order as (revision, key, mark), recorded by a listener."""
 
-    marks: list[tuple[int, str, int | None]] = field(default_factory=list)
+    changes: list[tuple[int, str, int | None]] = field(default_factory=list)
 
     def revisions_of(self, number: int) -> list[int]:
-        """Return the revisions at which a write first took effect on an object.
+        """Return the revisions at which a write took effect.
 
-        A deletion first writes its own id over the object, which keeps the mark of the write
-        before: only a mark that the key did not show just before counts.
+        A deletion first rewrites the object with its own operation id and keeps the mark of the
+        earlier write. So a change counts only if the object had another mark before it.
         """
-        shown: dict[str, int | None] = {}
+        current_marks: dict[str, int | None] = {}
         found = []
-        for revision, key, mark in self.marks:
-            if mark == number and shown.get(key) != number:
+        for revision, key, mark in self.changes:
+            if mark == number and current_marks.get(key) != number:
                 found.append(revision)
-            shown[key] = mark
+            current_marks[key] = mark
         return found
 
 
 class StoreSubject:
-    """Operators race while the store is down, slow or loses answers."""
+    """Operators write concurrently while the store is down, slow or loses answers."""
 
     def __init__(self) -> None:
         self._clock = VirtualClock()
         self._store = PlatformStore(random.Random(1))
-        chance = random.Random(2)
+        rng = random.Random(2)
         client = SimulatedStoreClient(self._store)
-        self._writer = OperatorWriter(client, chance, Retrier(RetryPolicy(), chance, sleep))
+        self._writer = OperatorWriter(client, rng, Retrier(RetryPolicy(), rng, sleep))
         self._writes: list[_Write] = []
         self._history = _History()
         self._known_revision = 0
@@ -75,7 +75,7 @@
 
     @property
     def actions(self) -> Mapping[str, Callable[..., object]]:
-        """What operators and the platform can do."""
+        """Writes of operators, faults of the store, and the passing of time."""
         return {
             "create": partial(self._begin, "create"),
             "update": partial(self._begin, "update"),
@@ -85,12 +85,12 @@
         }
 
     def finish(self) -> None:
-        """End all faults, wait for every write and check that each operator was told."""
+        """End all faults, wait, and check that every write was accepted or refused."""
         self._store.inject(FaultPlan())
-        self._let_time_pass(QUIET_SECONDS)
+        self._let_time_pass(SETTLE_SECONDS)
         for write in self._writes:
             if write.accepted is None and write.refused is None:
-                raise BrokenPromiseError(f"write {write.number} of {write.key} never ended")
+                raise InvariantViolationError(f"write {write.number} of {write.key} did not end")
 
     def _begin(self, kind: str, key: int) -> None:
         write = _Write(len(self._writes), KEYS[key % len(KEYS)], kind == "delete")
@@ -124,10 +124,10 @@
             return
         self._known_revision = revision
         for key in self._present - objects.keys():
-            self._history.marks.append((revision, key, None))
+            self._history.changes.append((revision, key, None))
         for key, item in objects.items():
             if item.revision == revision:
-                self._history.marks.append((revision, key, (item.value or {}).get(MARK)))
+                self._history.changes.append((revision, key, (item.value or {}).get(MARK)))
         self._present = set(objects)
 
     def _check(self, write: _Write) -> None:
@@ -137,22 +137,24 @@
             self._check_deletion(write)
             return
         revisions = self._history.revisions_of(write.number)
-        told = write.accepted
+        accepted = write.accepted
         if len(revisions) > 1:
-            raise BrokenPromiseError(f"write {write.number} took effect at {revisions}")
-        if told is not None and revisions != [told.revision]:
-            detail = f"told {told.revision}, took effect at {revisions}"
-            raise BrokenPromiseError(f"write {write.number} was accepted: {detail}")
+            raise InvariantViolationError(f"write {write.number} took effect at {revisions}")
+        if accepted is not None and revisions != [accepted.revision]:
+            detail = f"reported revision {accepted.revision}, but it took effect at {revisions}"
+            raise InvariantViolationError(f"write {write.number} was accepted: {detail}")
         unresolved = isinstance(write.refused, WriteUnresolvedError)
         if write.refused is not None and not unresolved and revisions:
-            detail = f"{type(write.refused).__name__}, yet it took effect at {revisions}"
-            raise BrokenPromiseError(f"write {write.number} was refused with {detail}")
+            detail = f"{type(write.refused).__name__}, but it took effect at {revisions}"
+            raise InvariantViolationError(f"write {write.number} was refused with {detail}")
 
     def _check_deletion(self, write: _Write) -> None:
-        """Check that an accepted deletion is one in the history."""
+        """Check that an accepted deletion is in the history."""
         if write.accepted is not None:
             change = (write.accepted.revision, write.key, None)
-            if change not in self._history.marks:
-                raise BrokenPromiseError(f"deletion {write.number} is not in the history: {change}")
+            if change not in self._history.changes:
+                raise InvariantViolationError(
+                    f"deletion {write.number} is not in the history: {change}"
+                )
         elif isinstance(write.refused, ObjectNotFoundError):
             return
--- a/src/beamloom/fuzzing/subjects/token_router.py
+++ b/src/beamloom/fuzzing/subjects/token_router.py
@@ -1,11 +1,11 @@
-"""The token router against a plain model: which flow is at which backend, and what may be sent."""
+"""Checks the token router against a model of routes, backends and placed flows."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Mapping
 
-from beamloom.fuzzing.errors import BrokenPromiseError
+from beamloom.fuzzing.errors import InvariantViolationError
 from beamloom.routing.tokens.packets import (
     ClientPacket,
     DropPacket,
@@ -24,7 +24,7 @@
 
 
 class TokenRouterSubject:
-    """Two routers with one key and the same news: any of them must carry a flow on."""
+    """Two routers with the same key and updates; each must forward the flows of the other."""
 
     def __init__(self) -> None:
         self._routers = [self._make_router(seed) for seed in range(2)]
@@ -38,7 +38,7 @@
 
     @property
     def actions(self) -> Mapping[str, Callable[..., object]]:
-        """What can be done to the routers."""
+        """Updates of routes and backends, packets of clients, and the passing of time."""
         return {
             "add": self._add,
             "drain": self._drain,
@@ -67,7 +67,7 @@
         address = ("127.0.0.1", 9000 + number)
         record = deployment.endpoint_record(number + 1, deployment.SERVICES[service % 2], address)
         self._backends[number] = record
-        self._tell(record)
+        self._update_backend(record)
 
     def _drain(self, number: int) -> None:
         record = self._backends.get(number)
@@ -75,7 +75,7 @@
             return
         draining = record._replace(state=BackendState.DRAINING)
         self._backends[number] = draining
-        self._tell(draining)
+        self._update_backend(draining)
 
     def _remove(self, number: int) -> None:
         record = self._backends.pop(number, None)
@@ -107,18 +107,18 @@
             if record.service == service and record.state is BackendState.READY
         ]
         if isinstance(command, ForwardPacket):
-            self._check_placed(command.identity, ready)
+            self._check_placement(command.identity, ready)
             self._flows[client] = (destination, command.identity, command.token)
         elif not isinstance(command, ResetFlow) or ready:
-            raise BrokenPromiseError(f"{command} although {ready} are ready")
+            raise InvariantViolationError(f"{command} although backends {ready} are ready")
 
-    def _check_placed(self, identity: int, ready: list[int]) -> None:
-        lately_gone = [
+    def _check_placement(self, identity: int, ready: list[int]) -> None:
+        recently_gone = [
             number + 1 for number, at in self._gone.items() if self._now - at < _GRACE_SECONDS
         ]
-        allowed = ready or lately_gone
+        allowed = ready or recently_gone
         if identity not in allowed:
-            raise BrokenPromiseError(f"a flow was placed on {identity}, allowed are {allowed}")
+            raise InvariantViolationError(f"a flow was placed on {identity}, allowed are {allowed}")
 
     def _send(self, client: int, node: int, size: int) -> None:
         if client not in self._flows:
@@ -130,7 +130,7 @@
         if forgotten:
             return
         if not isinstance(command, ForwardPacket) or command.identity != identity:
-            raise BrokenPromiseError(f"a packet of a flow at {identity} became {command}")
+            raise InvariantViolationError(f"a packet of a flow at {identity} became {command}")
 
     def _forge(self, client: int, destination: int, token: int, node: int) -> None:
         destination %= 3
@@ -140,14 +140,14 @@
         packet = _packet(PacketKind.DATA, client, destination, token & 0xFFFF_FFFF)
         command = self._routers[node % 2].handle(packet, self._now)
         if not isinstance(command, DropPacket):
-            raise BrokenPromiseError(f"a made-up token was answered with {command}")
+            raise InvariantViolationError(f"a made-up token was answered with {command}")
 
     def _wait(self, tenths: int) -> None:
         self._now += (tenths % 300) / 10
         for router in self._routers:
             router.advance(self._now)
 
-    def _tell(self, record: BackendRecord) -> None:
+    def _update_backend(self, record: BackendRecord) -> None:
         self._revision += 1
         for router in self._routers:
             router.backends.update(record, self._revision, self._now)
