--- a/src/beamloom/fuzzing/__init__.py
+++ b/src/beamloom/fuzzing/__init__.py
@@ -1,1 +1,4 @@
-"""Stateful fuzzing: subjects driven by steps, searched by hypothesis, replayed without it."""
+"""Stateful fuzzing: hypothesis searches for steps that make a subject fail.
+
+Replaying the steps of a failure does not need hypothesis.
+"""
--- a/src/beamloom/fuzzing/catalogue.py
+++ b/src/beamloom/fuzzing/catalogue.py
@@ -1,4 +1,4 @@
-"""The subjects of `beamloom fuzz` by name."""
+"""The subjects of `beamloom fuzz` by name, and the replay of tokens."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SubjectName(StrEnum):
-    """What can be fuzzed."""
+    """Names of the subjects, as given to `beamloom fuzz --machine`."""
 
     FLEET = "fleet"
     SETTINGS = "settings"
@@ -36,11 +36,11 @@
 
 
 def replay(token: str, make_subject: SubjectFactory | None = None) -> Failure | None:
-    """Run the steps of a token; returns how they failed, or None.
+    """Run the steps of a token; returns their failure, or None if they pass.
 
-    `make_subject` replaces the product's own subject. Raises ReplayTokenError.
+    `make_subject` replaces the factory in `SUBJECTS`. Raises ReplayTokenError.
     """
     name, steps = decode_token(token)
     if name not in SUBJECTS:
-        raise ReplayTokenError(f"there is no subject {name!r}")
+        raise ReplayTokenError(f"unknown subject {name!r}")
     return run_steps(name, make_subject or SUBJECTS[SubjectName(name)], steps)
--- a/src/beamloom/fuzzing/machine.py
+++ b/src/beamloom/fuzzing/machine.py
@@ -1,4 +1,4 @@
-"""Hypothesis state machines made of a subject's actions; every failing run is recorded."""
+"""Builds hypothesis state machines from the actions of a subject, and records failing runs."""
 
 from __future__ import annotations
 
@@ -11,15 +11,19 @@
 from beamloom.fuzzing.steps import Failure, Step, SubjectFactory, describe_error
 from beamloom.fuzzing.strategies import BEGIN, Actions
 
-UNLIMITED = 1_000_000
+UNLIMITED_RUNS = 1_000_000
 
 
-class BudgetSpent(BaseException):
-    """Ends a search from inside; no `Exception`, so that hypothesis lets it through."""
+class BudgetExhausted(BaseException):
+    """Ends a search; not an `Exception`, so hypothesis does not treat it as a failed run."""
 
 
 class Recorder:
-    """What a search has seen: how many runs, and the shortest failing one."""
+    """Counts the runs of a search, keeps the shortest failing one and enforces the limits.
+
+    `deadline` is a time of `clock`; without it, time is not limited. `shrink_runs` limits the runs
+    that follow the first failure, `shrink_seconds` their time if there is a deadline.
+    """
 
     def __init__(
         self,
@@ -32,34 +36,34 @@
         self.make_subject = make_subject
         self.deadline = deadline
         self.shrink_seconds = 0.0
-        self.shrink_runs = UNLIMITED
+        self.shrink_runs = UNLIMITED_RUNS
         self.runs = 0
-        self.spent = False
+        self.budget_exhausted = False
         self.shortest: Failure | None = None
         self._clock = clock
 
     def begin_run(self) -> None:
-        """Count a run; raises BudgetSpent when the runs for shrinking are used up."""
+        """Count a run; raises BudgetExhausted after the deadline or the last run for shrinking."""
         self.check_budget()
         self.runs += 1
         if self.shortest is not None:
             self.shrink_runs -= 1
             if self.shrink_runs < 0:
-                self._end()
+                self._end_search()
 
     def check_budget(self) -> None:
-        """Raise BudgetSpent when the deadline has passed."""
+        """Raise BudgetExhausted when the deadline has passed."""
         if self.deadline is not None and self._clock() >= self.deadline:
-            self._end()
+            self._end_search()
 
-    def _end(self) -> None:
-        self.spent = True
-        raise BudgetSpent
+    def _end_search(self) -> None:
+        self.budget_exhausted = True
+        raise BudgetExhausted
 
     def record(self, steps: list[Step], error: Exception) -> None:
-        """Keep a failing run when it is shorter than those before.
+        """Keep a failing run unless an earlier one is shorter.
 
-        From the first one on, `shrink_seconds` are left to shorten it.
+        The first one moves the deadline to `shrink_seconds` from now.
         """
         if self.shortest is None and self.deadline is not None:
             self.deadline = self._clock() + self.shrink_seconds
@@ -73,7 +77,7 @@
 
 
 class SubjectMachine(RuleBasedStateMachine):
-    """One run: a new subject and the steps done to it so far."""
+    """One run: a new subject and the steps executed on it so far."""
 
     recorder: ClassVar[Recorder]
 
@@ -84,18 +88,18 @@
         self._steps: list[Step] = []
         self._failed = False
 
-    def do(self, action: str, arguments: Mapping[str, Any]) -> None:
-        """Carry out one step."""
+    def execute(self, action: str, arguments: Mapping[str, Any]) -> None:
+        """Execute one step."""
         self.recorder.check_budget()
         self._steps.append(Step(action, dict(arguments)))
-        self._guard(lambda: self._subject.actions[action](**arguments))
+        self._run_and_record(lambda: self._subject.actions[action](**arguments))
 
     def teardown(self) -> None:
-        """End the run; what fails here fails the run."""
+        """Finish the subject, unless a step failed; an error fails the run."""
         if not self._failed:
-            self._guard(self._subject.finish)
+            self._run_and_record(self._subject.finish)
 
-    def _guard(self, call: Callable[[], object]) -> None:
+    def _run_and_record(self, call: Callable[[], object]) -> None:
         try:
             call()
         except Exception as error:
@@ -105,7 +109,7 @@
 
 
 def make_machine(recorder: Recorder, actions: Actions) -> type[SubjectMachine]:
-    """Return a state machine with one rule for each action."""
+    """Return a state machine with one rule for each action; `BEGIN` becomes its initial rule."""
     namespace: dict[str, Any] = {"recorder": recorder}
     for action, arguments in actions.items():
         drawn: dict[str, Any] = dict(arguments)
@@ -116,7 +120,7 @@
 
 def _make_rule(action: str) -> Callable[..., None]:
     def run(self: SubjectMachine, **arguments: object) -> None:
-        self.do(action, arguments)
+        self.execute(action, arguments)
 
     run.__name__ = run.__qualname__ = action
     return run
--- a/src/beamloom/fuzzing/search.py
+++ b/src/beamloom/fuzzing/search.py
@@ -1,4 +1,4 @@
-"""Searching with hypothesis for steps that break a subject's promises."""
+"""Searches with hypothesis for steps that make a subject fail."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from hypothesis.stateful import get_state_machine_test
 
 from beamloom.fuzzing.catalogue import SUBJECTS, SubjectName
-from beamloom.fuzzing.machine import UNLIMITED, BudgetSpent, Recorder, make_machine
+from beamloom.fuzzing.machine import UNLIMITED_RUNS, BudgetExhausted, Recorder, make_machine
 from beamloom.fuzzing.shortening import shorten
 from beamloom.fuzzing.steps import Failure, SubjectFactory
 from beamloom.fuzzing.strategies import STRATEGIES
 
-SHRINK_SHARE = 0.25
-"""How long hypothesis may shrink a failure, as a share of the search's budget."""
-SHORTEN_SHARE = 0.5
-"""How long steps may be left out after that, as a share of the search's budget."""
+SHRINK_FRACTION = 0.25
+"""Time for hypothesis to shrink a failure, as a fraction of the search's budget."""
+SHORTEN_FRACTION = 0.5
+"""Time for `shorten` after that, as a fraction of the search's budget."""
 
 
 @dataclass(frozen=True, slots=True)
 class SearchSize:
-    """How many runs one round has, how many steps a run at most, and how many runs shrink."""
+    """Limits of one round: its runs, the steps of a run, and the runs for shrinking a failure."""
 
     runs: int
     steps: int
-    shrink_runs: int = UNLIMITED
+    shrink_runs: int = UNLIMITED_RUNS
 
 
 SIZES: dict[SubjectName, SearchSize] = {
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """What a search did: rounds, runs, and the shortest failing run if there is one."""
+    """The numbers of rounds and runs of a search, and the shortest failing run if there is one."""
 
     rounds: int
     runs: int
@@ -57,19 +57,20 @@
     make_subject: SubjectFactory | None = None,
     clock: Callable[[], float] = time.monotonic,
 ) -> SearchResult:
-    """Search until the budget is spent or a failure was found and shrunk.
+    """Search in rounds until the budget is used up or a failure is found and shrunk.
 
-    `make_subject` replaces the product's own subject.
+    Each round takes the next seed. Shrinking and shortening a failure may exceed the budget by
+    SHRINK_FRACTION and SHORTEN_FRACTION of it. `make_subject` replaces the factory in `SUBJECTS`.
     """
     deadline = clock() + budget_seconds
     recorder = Recorder(name, make_subject or SUBJECTS[name], deadline, clock)
     rounds = 0
     while recorder.shortest is None and clock() < deadline:
-        _run_round(recorder, seed + rounds, SIZES[name], budget_seconds * SHRINK_SHARE)
+        _run_round(recorder, seed + rounds, SIZES[name], budget_seconds * SHRINK_FRACTION)
         rounds += 1
     shortest = recorder.shortest
     if shortest is not None:
-        end = clock() + budget_seconds * SHORTEN_SHARE
+        end = clock() + budget_seconds * SHORTEN_FRACTION
         shortest = shorten(shortest, recorder.make_subject, lambda: clock() >= end)
     return SearchResult(rounds, recorder.runs, shortest)
 
@@ -77,7 +78,7 @@
 def search_fixed(
     name: SubjectName, size: SearchSize, make_subject: SubjectFactory | None = None
 ) -> SearchResult:
-    """Search one derandomized round of a size, without looking at any clock."""
+    """Search one round with a fixed seed and without time limits, so that it is reproducible."""
     recorder = Recorder(name, make_subject or SUBJECTS[name])
     _run_round(recorder, 0, size, 0.0)
     return SearchResult(1, recorder.runs, recorder.shortest)
@@ -102,8 +103,8 @@
     run = hypothesis.seed(seed)(get_state_machine_test(machine, settings=settings))
     try:
         run()
-    except BudgetSpent:
+    except BudgetExhausted:
         return
     except Exception:
-        if recorder.shortest is None and not recorder.spent:
+        if recorder.shortest is None and not recorder.budget_exhausted:
             raise
--- a/src/beamloom/fuzzing/shortening.py
+++ b/src/beamloom/fuzzing/shortening.py
@@ -1,8 +1,8 @@
-"""Dropping steps that a failure does not need.
+"""Removes steps that a failure does not need.
 
-Hypothesis shrinks the draws, which takes many runs; where a run takes seconds, leaving out one
-step at a time makes more of the same time. Source: Zeller and Hildebrandt, "Simplifying and
-isolating failure-inducing input" (2002), with single steps only.
+Hypothesis shrinks drawn values, which takes many runs. If a run takes seconds, removing single
+steps shortens a failure more in the same time. This is delta debugging restricted to single steps;
+see Zeller and Hildebrandt, "Simplifying and isolating failure-inducing input" (2002).
 """
 
 from __future__ import annotations
@@ -11,22 +11,23 @@
 
 from beamloom.fuzzing.steps import Failure, SubjectFactory, run_steps
 
-FIRST_DROPPABLE = 1
-"""The first step stays: where a subject has to begin, that is how."""
-ERROR_WORDS = 2
-"""How many words of an error's text tell its kind: the type and the broken promise."""
+FIRST_REMOVABLE = 1
+"""Index of the first removable step; step 0 may be `begin`, which must come first."""
+KIND_WORDS = 2
+"""Number of leading words that failures of one kind share: error type, first word of message."""
 
 
 def shorten(
     failure: Failure, make_subject: SubjectFactory, out_of_time: Callable[[], bool]
 ) -> Failure:
-    """Return a failure of the same kind without steps that can be left out, the last tried first.
+    """Return a failure of the same kind without the steps that it does not need.
 
-    Stops early when `out_of_time` says so, which is asked before each run.
+    Tries to remove each remaining step once, from the last to the second. Stops early if
+    `out_of_time`, which is called before each run, returns True.
     """
     shortest = failure
     index = len(failure.steps) - 1
-    while index >= FIRST_DROPPABLE and not out_of_time():
+    while index >= FIRST_REMOVABLE and not out_of_time():
         steps = shortest.steps[:index] + shortest.steps[index + 1 :]
         found = run_steps(failure.subject, make_subject, steps)
         if found is not None and _kind(found) == _kind(failure):
@@ -36,4 +37,4 @@
 
 
 def _kind(failure: Failure) -> list[str]:
-    return failure.error.split()[:ERROR_WORDS]
+    return failure.error.split()[:KIND_WORDS]
--- a/src/beamloom/fuzzing/steps.py
+++ b/src/beamloom/fuzzing/steps.py
@@ -1,7 +1,7 @@
-"""Steps of a fuzzing run, and the tokens by which a run is replayed.
+"""Steps of a fuzzing run, and the tokens that encode them for replay.
 
-A token is the name of a subject and its steps, as compressed JSON in URL-safe base64, so that it
-can be pasted into a shell and needs neither hypothesis nor its version to be replayed.
+A token is the name of a subject and its steps, as compressed JSON in URL-safe base64. It can be
+pasted into a shell, and replaying it does not depend on hypothesis.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 from beamloom.fuzzing.errors import ReplayTokenError
 
 MAXIMUM_TOKEN_BYTES = 1 << 20
-"""Longest JSON text that a token may hold."""
+"""Limit of the decompressed JSON text of a token."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One action on a subject; arguments are numbers, texts or lists of them."""
+    """One call of a subject's action; its arguments are JSON values."""
 
     action: str
     arguments: Mapping[str, Any] = field(default_factory=dict)
 
     def __str__(self) -> str:
-        """Return the step as a call."""
+        """Return the step in the form of a call."""
         arguments = ", ".join(f"{name}={value!r}" for name, value in self.arguments.items())
         return f"{self.action}({arguments})"
 
 
 class Subject(Protocol):
-    """Something under test together with its oracle."""
+    """A component under test together with its oracle."""
 
     @property
     def actions(self) -> Mapping[str, Callable[..., object]]:
-        """What can be done to the subject; an action raises when the subject broke a promise."""
+        """The actions by name; an action raises when the oracle detects a violation."""
 
     def finish(self) -> None:
-        """Let what is in progress end and look a last time; raises like an action."""
+        """Complete work in progress and check a last time; raises as actions do."""
 
 
 SubjectFactory = Callable[[], Subject]
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A run that ended badly: the subject's name, the steps and the error's text."""
+    """A failed run: the subject's name, the steps up to the failure and the described error."""
 
     subject: str
     steps: tuple[Step, ...]
@@ -62,14 +62,14 @@
 
 
 def describe_error(error: BaseException) -> str:
-    """Return an error's kind and text in one line."""
+    """Return the type and the message of an error in one line."""
     return f"{type(error).__name__}: {' '.join(str(error).split())}"
 
 
 def run_steps(name: str, make_subject: SubjectFactory, steps: Sequence[Step]) -> Failure | None:
-    """Run steps on a new subject; returns how they failed, or None.
+    """Run steps on a new subject; returns their failure, or None if they pass.
 
-    Raises ReplayTokenError where the subject has no such action.
+    Raises ReplayTokenError if the subject lacks an action of the steps.
     """
     subject = make_subject()
     for step in steps:
@@ -88,7 +88,7 @@
 
 
 def encode_token(subject: str, steps: Sequence[Step]) -> str:
-    """Return the token of a run."""
+    """Return the token that replays these steps."""
     pairs = [[step.action, dict(step.arguments)] for step in steps]
     text = json.dumps([subject, pairs], separators=(",", ":"), sort_keys=True)
     return base64.urlsafe_b64encode(zlib.compress(text.encode(), 9)).decode().rstrip("=")
--- a/src/beamloom/fuzzing/strategies.py
+++ b/src/beamloom/fuzzing/strategies.py
@@ -1,4 +1,7 @@
-"""What hypothesis draws for each action of each subject. The only importers: `search`."""
+"""Hypothesis strategies for the arguments of each subject's actions.
+
+Only modules that need hypothesis anyway may import this one.
+"""
 
 from __future__ import annotations
 
@@ -17,15 +20,16 @@
 from beamloom.simulation.deployment import VAKATALE
 
 Arguments = Mapping[str, st.SearchStrategy[object]]
-"""What is drawn for each argument of one action."""
+"""Strategies for the arguments of one action, by the argument's name."""
 Actions = Mapping[str, Arguments]
+"""Strategies for the arguments of each action, by the action's name."""
 
 BEGIN = "begin"
-"""The action that, where there is one, comes first and only once."""
+"""The action that comes first and only once, in subjects that have it."""
 
 
 def _seconds(shortest: float, longest: float) -> st.SearchStrategy[object]:
-    """Draw times in quarters of a second, so that tokens stay short."""
+    """Draw times in steps of 0.25 s, which keeps tokens short."""
     quarters = st.integers(int(shortest * 4), int(longest * 4))
     return quarters.map(lambda count: count / 4)
 
@@ -64,7 +68,7 @@
 }
 
 _CHOICES = sorted({choice for item in DECLARATIONS.values() for choice in item.choices})
-_VALUES: st.SearchStrategy[object] = st.one_of(
+_ARBITRARY_VALUES: st.SearchStrategy[object] = st.one_of(
     st.booleans(),
     st.integers(-1, 200),
     st.sampled_from([0.01, 0.5, 1.5, 1e13, -0.5]),
@@ -73,8 +77,8 @@
 )
 
 
-def _usable_values(declaration: SettingDeclaration) -> st.SearchStrategy[object]:
-    """Draw values within a declaration's bounds, the bounds themselves among them."""
+def _valid_values(declaration: SettingDeclaration) -> st.SearchStrategy[object]:
+    """Draw valid values: any choice, any boolean, or the finite bounds and the default."""
     if declaration.choices:
         return st.sampled_from(declaration.choices)
     if declaration.value_type is SettingType.BOOLEAN:
@@ -87,21 +91,21 @@
 
 
 def _override(index: int) -> st.SearchStrategy[object]:
-    """Draw the index of a setting and a value for it, mostly a usable one."""
-    usable = _usable_values(DECLARATIONS[NAMES[index]])
-    return st.tuples(st.just(index), usable | usable | _VALUES).map(list)
+    """Draw the index of a setting in `NAMES` and a valid or arbitrary value for it."""
+    valid = _valid_values(DECLARATIONS[NAMES[index]])
+    return st.tuples(st.just(index), valid | valid | _ARBITRARY_VALUES).map(list)
 
 
 _SCOPE_INDEX: Arguments = {"scope": st.integers(0, len(SCOPES) - 1)}
-_OVERRIDE: Arguments = {
+_SCOPE_OVERRIDE: Arguments = {
     **_SCOPE_INDEX,
     "override": st.integers(0, len(NAMES) - 1).flatmap(_override),
 }
 SETTINGS: Actions = {
-    "set_value": _OVERRIDE,
+    "set_value": _SCOPE_OVERRIDE,
     "clear_value": {**_SCOPE_INDEX, "name": st.integers(0, len(NAMES) - 1)},
     "delete_scope": _SCOPE_INDEX,
-    "repeat_old_change": _OVERRIDE,
+    "repeat_old_change": _SCOPE_OVERRIDE,
 }
 
 _KEY: Arguments = {"key": st.integers(0, 1)}
@@ -117,6 +121,7 @@
     "let_time_pass": {"seconds": _hundredths(1, 200)},
 }
 
+# Few keys, so that most steps affect entries of earlier steps.
 _FLOW_KEYS = st.builds(
     lambda low, high: low + high * PARTITION_COUNT, st.integers(0, 3), st.integers(0, 7)
 )
@@ -154,7 +159,7 @@
     "wait": {"tenths": st.integers(0, 299)},
 }
 
-_ITEMS = st.recursive(
+_CBOR_ITEMS = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(max_size=8) | st.binary(max_size=24),
     lambda inner: st.lists(inner, max_size=5) | st.dictionaries(st.text(max_size=4), inner),
     max_leaves=8,
@@ -162,29 +167,29 @@
 _MESSAGES = st.builds(
     lambda kind, values: [kind, *values],
     st.sampled_from(sorted(MESSAGE_TYPES)),
-    st.lists(_ITEMS, max_size=8),
+    st.lists(_CBOR_ITEMS, max_size=8),
 )
 _ENVELOPES = st.builds(
     lambda messages: cbor2.dumps([1, "node-1", 1, 1, messages]), st.lists(_MESSAGES, max_size=3)
 )
-_TOML_WORDS = (
+_TOML_TOKENS = (
     "[node] [[zones]] [[tenants]] [[tenants.services]] [fleet] name id zone region networks "
     'ip port settings = "a" 1 true []'
 )
-_WORDS = st.sampled_from([*_TOML_WORDS.split(), "\n", "\n"])
-_FILES = st.lists(_WORDS, max_size=24).map(lambda words: " ".join(words).encode())
-_JSON_TEXTS = (
+_DRAWN_TOML_TOKENS = st.sampled_from([*_TOML_TOKENS.split(), "\n", "\n"])
+_TOML_FILES = st.lists(_DRAWN_TOML_TOKENS, max_size=24).map(lambda words: " ".join(words).encode())
+_JSON_TOKENS = (
     '{ } [ ] : , {} [] null 1 -1 1e400 "revision" "objects" "object" "changes" "key" "value" '
     '"live" "leaving" "data_address"'
 )
-_JSON_WORDS = st.sampled_from(_JSON_TEXTS.split())
-_BODIES = st.lists(_JSON_WORDS, max_size=24).map(lambda words: "".join(words).encode())
+_DRAWN_JSON_TOKENS = st.sampled_from(_JSON_TOKENS.split())
+_JSON_BODIES = st.lists(_DRAWN_JSON_TOKENS, max_size=24).map(lambda words: "".join(words).encode())
 _PACKETS = st.builds(
     lambda first, rest: bytes((first,)) + rest,
     st.sampled_from([0x45, 0x60, 0x46, 0x00]),
     st.binary(max_size=120),
 )
-_BYTES = st.one_of(st.binary(max_size=200), _ENVELOPES, _FILES, _BODIES, _PACKETS)
+_BYTES = st.one_of(st.binary(max_size=200), _ENVELOPES, _TOML_FILES, _JSON_BODIES, _PACKETS)
 CODEC: Actions = {
     "parse": {
         "parser": st.sampled_from(sorted(PARSERS)),
