--- a/tests/unit/fuzzing/test_machines.py
+++ b/tests/unit/fuzzing/test_machines.py
@@ -42,8 +42,8 @@
         return True
 
 
-class HealthyTest(unittest.TestCase):
-    def test_nothing_is_found_in_a_short_search(self) -> None:
+class UnmodifiedSubjectsTest(unittest.TestCase):
+    def test_short_search_finds_no_failure(self) -> None:
         for name, size in SIZES.items():
             with self.subTest(name):
                 result = search_fixed(name, size)
@@ -51,15 +51,15 @@
                 self.assertGreaterEqual(result.runs, 1)
 
 
-class PlantedFaultTest(unittest.TestCase):
-    def _assert_found(self, name: SubjectName, promise: str, size: SearchSize = SMALL) -> Failure:
+class InjectedDefectTest(unittest.TestCase):
+    def _assert_found(self, name: SubjectName, message: str, size: SearchSize = SMALL) -> Failure:
         result = search_fixed(name, size)
         assert result.failure is not None
-        self.assertIn(promise, result.failure.error)
+        self.assertIn(message, result.failure.error)
         self.assertEqual(replay(result.failure.token), result.failure)
         return result.failure
 
-    def test_broken_core_is_found_and_the_printed_line_replays_it(self) -> None:
+    def test_broken_core_is_found_and_the_printed_command_replays_it(self) -> None:
         make_subject = partial(FleetSubject, MixesServicesAtOnce)
         result = search_fixed(SubjectName.FLEET, SearchSize(2, 4, shrink_runs=1), make_subject)
         assert result.failure is not None
@@ -67,32 +67,32 @@
         output = io.StringIO()
         with redirect_stdout(output):
             write_failure(result.failure)
-        printed = re.search(r"beamloom fuzz --replay (\S+)", output.getvalue())
-        assert printed is not None
-        self.assertEqual(replay(printed.group(1), make_subject), result.failure)
+        command = re.search(r"beamloom fuzz --replay (\S+)", output.getvalue())
+        assert command is not None
+        self.assertEqual(replay(command.group(1), make_subject), result.failure)
 
-    def test_tree_that_forgets_no_scope_is_found_and_shrunk(self) -> None:
+    def test_settings_tree_that_keeps_deleted_scopes_is_found_and_shrunk(self) -> None:
         def keep(tree: SettingsTree, scope: object) -> None:
-            """Forget nothing."""
+            """Keep the overrides."""
 
         with mock.patch.object(SettingsTree, "remove", keep):
             failure = self._assert_found(SubjectName.SETTINGS, "expected")
         self.assertEqual([step.action for step in failure.steps], ["set_value", "delete_scope"])
         self.assertIsNone(replay(failure.token, SettingsSubject))
 
-    def test_store_that_writes_twice_is_found(self) -> None:
-        whole = PlatformStore.write
+    def test_store_that_applies_a_refused_write_is_found(self) -> None:
+        original_write = PlatformStore.write
 
         def write(store: PlatformStore, key: str, value: dict | None, expected: int) -> object:
             if value is not None:
-                whole(store, key, value, expected)
+                original_write(store, key, value, expected)
                 raise StoreConflictError(key, store.read(key).found)
-            return whole(store, key, value, expected)
+            return original_write(store, key, value, expected)
 
         with mock.patch.object(PlatformStore, "write", write):
             self._assert_found(SubjectName.STORE, "was refused")
 
-    def test_operator_that_repeats_a_creation_is_found(self) -> None:
+    def test_operator_that_sends_a_creation_again_is_found(self) -> None:
         async def settle(writer: OperatorWriter, attempt: object) -> object:
             return await writer._send(attempt)
 
@@ -101,7 +101,7 @@
             assert result.failure is not None
             self.assertEqual(replay(result.failure.token), result.failure)
 
-    def test_table_that_keeps_removed_rows_is_found(self) -> None:
+    def test_table_that_frees_a_row_twice_is_found(self) -> None:
         def remove(table: FlowTable, key: int) -> None:
             row = table.rows.pop(key, None)
             if row is not None:
@@ -120,24 +120,24 @@
         ):
             self._assert_found(SubjectName.TOKEN_ROUTER, "made-up token")
 
-    def test_a_router_that_goes_on_placing_on_draining_backends_is_found(self) -> None:
+    def test_router_that_places_flows_on_draining_backends_is_found(self) -> None:
         with mock.patch.object(Backend, "takes_flows", True):
             self._assert_found(SubjectName.TOKEN_ROUTER, "was placed on", LARGER)
 
-    def test_parser_with_a_foreign_error_is_found(self) -> None:
+    def test_parser_that_raises_an_undeclared_error_is_found(self) -> None:
         def parse(data: bytes) -> object:
             return data[3]
 
-        planted = {"packet": Parser(parse, (ValueError,))}
-        with mock.patch.dict(PARSERS, planted):
+        defective = {"packet": Parser(parse, (ValueError,))}
+        with mock.patch.dict(PARSERS, defective):
             failure = self._assert_found(SubjectName.CODEC, "packet raised IndexError")
         self.assertEqual(len(failure.steps), 1)
 
 
 class ShorteningTest(unittest.TestCase):
     def setUp(self) -> None:
-        planted = {"packet": Parser(lambda data: data[3], (ValueError,))}
-        patch = mock.patch.dict(PARSERS, planted)
+        defective = {"packet": Parser(lambda data: data[3], (ValueError,))}
+        patch = mock.patch.dict(PARSERS, defective)
         patch.start()
         self.addCleanup(patch.stop)
         harmless, failing = (
@@ -149,12 +149,12 @@
         assert failure is not None
         self.failure = failure
 
-    def test_steps_without_effect_are_left_out(self) -> None:
+    def test_steps_without_effect_are_removed(self) -> None:
         shortest = shorten(self.failure, CodecSubject, lambda: False)
         self.assertEqual(shortest.steps, (self.failure.steps[0], self.failing))
         self.assertEqual(shortest.error, self.failure.error)
 
-    def test_nothing_is_tried_when_time_is_up(self) -> None:
+    def test_failure_is_unchanged_when_time_is_up(self) -> None:
         self.assertEqual(shorten(self.failure, CodecSubject, lambda: True), self.failure)
 
 
@@ -165,21 +165,21 @@
             status = main(["fuzz", *tokens])
         return status, output.getvalue()
 
-    def test_search_prints_a_line_that_fails_the_same_way(self) -> None:
+    def test_search_prints_a_command_that_replays_the_failure(self) -> None:
         def remove(table: FlowTable, key: int) -> None:
-            """Forget nothing."""
+            """Keep the entry."""
 
         with mock.patch.object(FlowTable, "remove", remove):
             status, found = self._call("--machine", "flow-table", "--seed", "5", "--budget", "30")
             self.assertEqual(status, 1)
-            printed = re.search(r"beamloom fuzz (--replay \S+)", found)
-            assert printed is not None
-            status, replayed = self._call(*printed.group(1).split())
+            command = re.search(r"beamloom fuzz (--replay \S+)", found)
+            assert command is not None
+            status, replayed = self._call(*command.group(1).split())
         self.assertEqual(status, 1)
         self.assertIn(replayed, found)
-        self.assertEqual(self._call(*printed.group(1).split()), (0, "the steps pass\n"))
+        self.assertEqual(self._call(*command.group(1).split()), (0, "the steps pass\n"))
 
-    def test_missing_hypothesis_is_told_with_the_remedy(self) -> None:
+    def test_missing_hypothesis_is_reported_with_the_remedy(self) -> None:
         with mock.patch("beamloom.cli.fuzz.find_spec", return_value=None):
             status, text = self._call("--budget", "1")
         self.assertEqual(status, 1)
@@ -187,21 +187,21 @@
 
 
 class ReplayTest(unittest.TestCase):
-    def test_token_holds_the_steps(self) -> None:
+    def test_token_encodes_the_steps(self) -> None:
         steps = (Step("remove", {"key": 3}), Step("expire", {"now": 0.25}))
         self.assertEqual(decode_token(encode_token("flow-table", steps)), ("flow-table", steps))
 
-    def test_foreign_tokens_are_refused_with_the_remedy(self) -> None:
-        whole = encode_token("flow-table", (Step("remove", {"key": 3}),))
+    def test_invalid_tokens_are_rejected_with_the_remedy(self) -> None:
+        valid_token = encode_token("flow-table", (Step("remove", {"key": 3}),))
         unknown_subject = encode_token("gale", ())
         unknown_action = encode_token("flow-table", (Step("fly"),))
-        for token in ("", "x", whole[:-9], unknown_subject, unknown_action):
+        for token in ("", "x", valid_token[:-9], unknown_subject, unknown_action):
             with self.subTest(token), self.assertRaisesRegex(ReplayTokenError, "whole token"):
                 replay(token)
 
 
 class BudgetTest(unittest.TestCase):
-    def test_search_ends_when_the_clock_says_so(self) -> None:
+    def test_search_ends_at_the_deadline(self) -> None:
         ticks = iter(range(10_000))
         result = search(SubjectName.FLOW_TABLE, 1, 200.0, FlowTableSubject, lambda: next(ticks))
         self.assertIsNone(result.failure)
--- a/tests/unit/fuzzing/test_regressions.py
+++ b/tests/unit/fuzzing/test_regressions.py
@@ -8,7 +8,7 @@
 
 class RegressionTest(unittest.TestCase):
     def test_fleet_seed_1_streams_opened_while_a_fleet_starts(self) -> None:
-        """Two nodes held themselves for the home of a flow, and its second packet was reset."""
+        """Two nodes considered themselves the home of a flow, and its second packet was reset."""
         steps = (
             Step("begin", {"seed": 50, "nodes": 4, "failures": False}),
             Step("open_streams", {"service": 0, "count": 10}),
