--- a/src/beamloom/bench/token_path.py
+++ b/src/beamloom/bench/token_path.py
@@ -71,7 +71,7 @@
     for number in range(clients):
         token = 0
         for data in _packets(number):
-            datagram = packet_layout.with_echo(data, token) if token else data
+            datagram = packet_layout.replace_token(data, token) if token else data
             began = time.perf_counter_ns()
             token = _carry(router, datagram) or token
             spent += time.perf_counter_ns() - began
--- a/src/beamloom/cli/check.py
+++ b/src/beamloom/cli/check.py
@@ -11,9 +11,9 @@
 from beamloom.cli.errors import FileKindError
 from beamloom.cli.exit_status import ExitStatus
 from beamloom.cli.output import FormatFlag, OutputFormat, flatten, write_json, write_line
-from beamloom.platform.deploy_file import MARK_OF_DEPLOY_FILE, deploy_faults
+from beamloom.platform.deploy_file import DEPLOY_FILE_KEY, deploy_faults
 from beamloom.platform.errors import PlatformSettingsError
-from beamloom.platform.node_settings import MARK_OF_SETTINGS, check_settings
+from beamloom.platform.node_settings import SETTINGS_FILE_KEY, check_settings
 from beamloom.settings.deployment import Deployment, check_deployment
 from beamloom.settings.file_faults import SettingsFileError
 from beamloom.settings.node_file import check_node_settings
@@ -75,9 +75,9 @@
 
 def _check_loaded(file: Path) -> CheckResult:
     source = load_toml(file)
-    if MARK_OF_SETTINGS in source.data:
+    if SETTINGS_FILE_KEY in source.data:
         return _check_token_node_settings(file, source)
-    if MARK_OF_DEPLOY_FILE in source.data:
+    if DEPLOY_FILE_KEY in source.data:
         faults = tuple(deploy_faults(source.data))
         return CheckResult(f"a deploy file of {len(source.data['roles'])} roles", (), faults)
     return CheckResult(_check_source(source), ())
--- a/src/beamloom/node/core.py
+++ b/src/beamloom/node/core.py
@@ -143,7 +143,7 @@
         """Whether packets may be sent to this node: it is configured and was not asked to stop."""
         return self.replica.ready and self._stop_deadline is None
 
-    def ask_in_force(self, revision: int, now: float) -> list[Command]:
+    def query_in_force(self, revision: int, now: float) -> list[Command]:
         """Start to collect where a revision is in force; the result is `fleet_status.in_force`."""
         self._configuration_group.invalidate()
         return self._finish(self.fleet_status.ask(revision, now), now)
--- a/src/beamloom/platform/deploy_file.py
+++ b/src/beamloom/platform/deploy_file.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-MARK_OF_DEPLOY_FILE = "roles"
+DEPLOY_FILE_KEY = "roles"
 """A table that only this kind of file has; it identifies the kind."""
 SERVABLE = frozenset({"front", "control"})
 MAXIMUM_ROLES = 2
--- a/src/beamloom/platform/node_settings.py
+++ b/src/beamloom/platform/node_settings.py
@@ -29,7 +29,7 @@
 METRICS_VARIABLE = "BEAMLOOM_METRICS_PORT"
 """Set by deploy/system.toml, next to the address of the metrics that it gives the platform."""
 DEFAULT_SETTINGS_PATH = "/etc/beamloom/node.toml"
-MARK_OF_SETTINGS = "bind-addrs"
+SETTINGS_FILE_KEY = "bind-addrs"
 """A table that only this kind of file has; it identifies the kind."""
 
 
--- a/src/beamloom/platform/packet_layout.py
+++ b/src/beamloom/platform/packet_layout.py
@@ -61,10 +61,10 @@
     identity = IDENTITY.pack(command.identity)
     if command.token == NO_TOKEN:
         return identity + data
-    return identity + with_echo(data, command.token)
+    return identity + replace_token(data, command.token)
 
 
-def with_echo(data: bytes, token: int) -> bytes:
+def replace_token(data: bytes, token: int) -> bytes:
     """Return a packet with another token in its echo field."""
     return data[:_ECHO_OFFSET] + _ECHO.pack(token) + data[_ECHO_END:]
 
--- a/src/beamloom/protocol/backend_messages.py
+++ b/src/beamloom/protocol/backend_messages.py
@@ -15,7 +15,7 @@
 BUCKET_COUNT = 128
 BUCKET_DIGEST_SIZE = 4
 MAXIMUM_BATCH_RECORDS = 60
-MAXIMUM_RECORDS_OF_REPAIR = 90
+MAXIMUM_EXCEPTION_RECORDS = 90
 
 
 def _require_integers(name: str, values: object) -> None:
@@ -44,7 +44,7 @@
     wants_reply: bool
 
     def __post_init__(self) -> None:
-        _require_records(self.records, MAXIMUM_RECORDS_OF_REPAIR)
+        _require_records(self.records, MAXIMUM_EXCEPTION_RECORDS)
 
 
 @register_message(65, Priority.STATUS)
--- a/src/beamloom/replication/backend_status/gossip.py
+++ b/src/beamloom/replication/backend_status/gossip.py
@@ -18,7 +18,7 @@
     BUCKET_COUNT,
     BUCKET_DIGEST_SIZE,
     MAXIMUM_BATCH_RECORDS,
-    MAXIMUM_RECORDS_OF_REPAIR,
+    MAXIMUM_EXCEPTION_RECORDS,
     StatusBatch,
     StatusBuckets,
     StatusDigest,
@@ -248,7 +248,7 @@
     ) -> list[Command]:
         self._refill(now)
         record_limit = int((self._tokens - MESSAGE_OVERHEAD) // RECORD_BYTES)
-        count = max(0, min(record_limit, len(records), MAXIMUM_RECORDS_OF_REPAIR))
+        count = max(0, min(record_limit, len(records), MAXIMUM_EXCEPTION_RECORDS))
         part = self._rng.sample(records, count)
         flat = [item for record in part for item in record]
         message = StatusExceptions(flat, count == len(records), wants_reply)
--- a/src/beamloom/replication/backend_status/watchers.py
+++ b/src/beamloom/replication/backend_status/watchers.py
@@ -51,10 +51,10 @@
 
     watched: int
     records: int
-    distrusts_itself: bool
+    suspects_local_fault: bool
     unknown_records: int
-    refusals_seen: int
-    answer_times_seen: int
+    refusals: int
+    answer_times: int
     contradicted: int
     gossip: GossipStatus
 
@@ -210,10 +210,10 @@
         return BackendWatchersStatus(
             watched=self._checker.watched_count,
             records=len(self._register),
-            distrusts_itself=self._checker.suspects_local_fault,
+            suspects_local_fault=self._checker.suspects_local_fault,
             unknown_records=self._unknown_records,
-            refusals_seen=self._refusals_seen,
-            answer_times_seen=self._answer_times_seen,
+            refusals=self._refusals_seen,
+            answer_times=self._answer_times_seen,
             contradicted=sum(inputs.contradicted for inputs in self._inputs.values()),
             gossip=self._gossip.snapshot(),
         )
--- a/src/beamloom/replication/fleet_share.py
+++ b/src/beamloom/replication/fleet_share.py
@@ -19,7 +19,7 @@
 """How long a result is reused before it is computed again."""
 MAXIMUM_CACHED = 4096
 """Number of results at which the cache is cleared."""
-DRAWS_TO_CHANGE = 2
+RESULTS_TO_CHANGE = 2
 """How many results in a row, `CACHE_SECONDS` apart, must differ before a key is reassigned, so that
 a peer that is missing for a moment changes nothing.
 """
@@ -68,7 +68,7 @@
         is_recent = cached is not None and now - cached.checked_at < SETTLING_SECONDS
         if cached is None or not is_recent or is_holder == cached.is_holder:
             return _CachedResult(now, is_holder, 0)
-        if cached.differing_count + 1 >= DRAWS_TO_CHANGE:
+        if cached.differing_count + 1 >= RESULTS_TO_CHANGE:
             return _CachedResult(now, is_holder, 0)
         return _CachedResult(now, cached.is_holder, cached.differing_count + 1)
 
--- a/src/beamloom/routing/answer_times.py
+++ b/src/beamloom/routing/answer_times.py
@@ -8,7 +8,7 @@
 
 from beamloom.routing.hooks import BackendHealth
 
-AWAITED_FLOWS = 2048
+MAXIMUM_PENDING_FLOWS = 2048
 MAXIMUM_ANSWER_SECONDS = 30.0
 
 
@@ -23,7 +23,7 @@
         """Record that a flow's first payload is sent to a backend."""
         self._pending.pop(key, None)
         self._pending[key] = backend_number, now
-        if len(self._pending) > AWAITED_FLOWS:
+        if len(self._pending) > MAXIMUM_PENDING_FLOWS:
             del self._pending[next(iter(self._pending))]
 
     def answered(self, key: int, now: float) -> None:
--- a/src/beamloom/routing/forwarder.py
+++ b/src/beamloom/routing/forwarder.py
@@ -269,7 +269,7 @@
         self._commands.append(SendPacket(LocalSocket.PEER, member.machine.peer_address, packet))
 
     def _forward_as_home(self, packet: ClientFlowPacket, now: float) -> SocketAddress | None:
-        predecessor = self._handler.predecessor_to_ask(packet, now)
+        predecessor = self._handler.predecessor_for_relay(packet, now)
         if predecessor is not None:
             self._relay(packet.data, predecessor, RELAY_HOP_LIMIT)
             return None
--- a/src/beamloom/routing/home.py
+++ b/src/beamloom/routing/home.py
@@ -71,7 +71,7 @@
 
     # -- entries ---------------------------------------------------------------------------------
 
-    def known_row(self, key: int, service: ServiceRoute, now: float) -> int | None:
+    def home_row(self, key: int, service: ServiceRoute, now: float) -> int | None:
         """Return the row of a known flow of this service; a leased copy becomes a home entry."""
         row = self.table.rows.get(key)
         if row is None:
--- a/src/beamloom/routing/home_packets.py
+++ b/src/beamloom/routing/home_packets.py
@@ -86,13 +86,13 @@
         """The number of flows that wait for a replica holder to acknowledge their binding."""
         return len(self._bindings)
 
-    def predecessor_to_ask(self, packet: ClientFlowPacket, now: float) -> NodeId | None:
+    def predecessor_for_relay(self, packet: ClientFlowPacket, now: float) -> NodeId | None:
         """Return the partition's former owner if it may already have placed this new flow."""
         owned = self._home.ownership.owned[partition_of(packet.key)]
         former = owned.predecessor
         if not packet.view.opens_flow or owned.grace_until <= now or former == packet.relay:
             return None
-        if self._home.known_row(packet.key, packet.service, now) is not None:
+        if self._home.home_row(packet.key, packet.service, now) is not None:
             return None
         return former if self._home.ownership.is_reachable(former) else None
 
@@ -101,7 +101,7 @@
     def decide(self, packet: ClientFlowPacket, now: float) -> Decision:
         """Return the outcome for one packet of a client and update its flow's entry."""
         key, view = packet.key, packet.view
-        row = self._home.known_row(key, packet.service, now)
+        row = self._home.home_row(key, packet.service, now)
         if row is not None and view.opens_flow and self._is_closing(row):
             self._home.remove(key)
             row = None
@@ -270,7 +270,7 @@
         self, key: int, view: PacketView, service: ServiceRoute, now: float
     ) -> Decision:
         """Handle a FIN or RST of a backend; a refused new flow may be retried on another one."""
-        row = self._home.known_row(key, service, now)
+        row = self._home.home_row(key, service, now)
         if row is None:
             return Decision()
         if view.tcp_flags & TCP_RST:
--- a/src/beamloom/routing/hooks.py
+++ b/src/beamloom/routing/hooks.py
@@ -88,7 +88,7 @@
         return True
 
 
-class SilentRefusal:
+class NoRefusals:
     """Builds no packets, so refused flows are dropped without an answer."""
 
     def build(self, packet: bytes, retry_after: float, no_backend: bool) -> bytes | None:
@@ -100,7 +100,7 @@
         return Cancellation()
 
 
-class AssumedHealth:
+class StaticHealth:
     """Reports every backend as online and at full weight."""
 
     def status(self, backend_number: int) -> BackendOperatingStatus:
@@ -141,4 +141,4 @@
 
 def permissive_hooks() -> RoutingHooks:
     """Return hooks that admit every flow and report every backend as online."""
-    return RoutingHooks(PermissiveAdmission(), SilentRefusal(), AssumedHealth())
+    return RoutingHooks(PermissiveAdmission(), NoRefusals(), StaticHealth())
--- a/src/beamloom/runtime/admin.py
+++ b/src/beamloom/runtime/admin.py
@@ -166,7 +166,7 @@
         """Query the fleet; queries are serialized, since a node tracks one revision at a time."""
         revision = _revision(request)
         async with self._in_force_lock:
-            self._balancer.ask_in_force(revision)
+            self._balancer.query_in_force(revision)
             answer = await self._await_in_force(revision)
         return web.json_response(answer)
 
--- a/src/beamloom/runtime/admission_metrics.py
+++ b/src/beamloom/runtime/admission_metrics.py
@@ -7,7 +7,7 @@
 
 from beamloom.admission.limits import TenantAdmissionStatus
 from beamloom.node.core import NodeCore
-from beamloom.telemetry.counters import Metric, MetricKind, Sample, labelled
+from beamloom.telemetry.counters import Metric, MetricKind, Sample, labelled_metric
 
 TENANT_LABEL = "tenant"
 
@@ -20,7 +20,7 @@
     admitted = {name: float(status.admitted) for name, status in tenants.items()}
     yield _gauge("tenant_open_flows", "Flows open at this home.", open_flows)
     yield _gauge("tenant_table_entries", "Entries of the flow table.", entries)
-    yield labelled(
+    yield labelled_metric(
         "tenant_flows_admitted",
         MetricKind.COUNTER,
         "New flows admitted here.",
@@ -31,7 +31,7 @@
     yield from _limits(core, tenants)
     yield from _packets(core)
     refused = {name: float(count) for name, count in core.gate.retries_refused().items()}
-    yield labelled(
+    yield labelled_metric(
         "retries_refused",
         MetricKind.COUNTER,
         "Refused openings that the retry budget did not let go to a second backend.",
@@ -57,7 +57,7 @@
     meters = core.forwarder.routes.meters
     packets = {name: float(meter.packets) for name, meter in meters.items()}
     blocked = {name: float(meter.blocked) for name, meter in meters.items()}
-    yield labelled(
+    yield labelled_metric(
         "tenant_packets",
         MetricKind.COUNTER,
         "Packets of clients taken here.",
@@ -80,4 +80,4 @@
 
 
 def _gauge(name: str, help_text: str, values: dict[str, float]) -> Metric:
-    return labelled(name, MetricKind.GAUGE, help_text, TENANT_LABEL, values)
+    return labelled_metric(name, MetricKind.GAUGE, help_text, TENANT_LABEL, values)
--- a/src/beamloom/runtime/balancer.py
+++ b/src/beamloom/runtime/balancer.py
@@ -71,10 +71,10 @@
         except Exception as error:
             self._fail(error)
 
-    def ask_in_force(self, revision: int) -> None:
+    def query_in_force(self, revision: int) -> None:
         """Start to collect where a revision is in force; see `core.fleet_status.in_force`."""
         try:
-            self._execute_all(self.core.ask_in_force(revision, self._now()))
+            self._execute_all(self.core.query_in_force(revision, self._now()))
         except Exception as error:
             self._fail(error)
 
--- a/src/beamloom/runtime/connection_limits.py
+++ b/src/beamloom/runtime/connection_limits.py
@@ -98,7 +98,7 @@
     return CallLimits(deadline, CALL_TIMEOUT_SECONDS, waits=wait_seconds > 0)
 
 
-def notice_silence(connection: socket.socket) -> None:
+def enable_silence_detection(connection: socket.socket) -> None:
     """Have the kernel close a connection that is no longer acknowledged; raises OSError."""
     unacknowledged = int(UNACKNOWLEDGED_SECONDS * MILLISECONDS)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged)
--- a/src/beamloom/runtime/http_client.py
+++ b/src/beamloom/runtime/http_client.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from beamloom.runtime.connection_limits import CONNECT_SECONDS, CallLimits, notice_silence
+from beamloom.runtime.connection_limits import CONNECT_SECONDS, CallLimits, enable_silence_detection
 
 
 class CallFailure(Enum):
@@ -45,7 +45,7 @@
         self.failure = failure
 
 
-class HttpAnswer(NamedTuple):
+class HttpResponse(NamedTuple):
     """Status, complete body, and headers by their names in lower case."""
 
     status: int
@@ -56,17 +56,17 @@
 class _HttpProtocol(asyncio.Protocol):
     """Reads one answer at a time; the parser calls the methods named on_*."""
 
-    def __init__(self, *, notices_silence: bool) -> None:
+    def __init__(self, *, detects_silence: bool) -> None:
         self.transport: asyncio.Transport | None = None
         self.closed = False
         self._parser = httptools.HttpResponseParser(self)
         self._body: list[bytes] = []
         self._headers: dict[bytes, bytes] = {}
-        self._answer: asyncio.Future[HttpAnswer] | None = None
+        self._answer: asyncio.Future[HttpResponse] | None = None
         self._progress_seconds = 0.0
         self._received_at = 0.0
         self._progress_timer: asyncio.TimerHandle | None = None
-        self._silence_detection_due = notices_silence
+        self._silence_detection_due = detects_silence
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -87,7 +87,7 @@
         failure = CallFailure.SILENT if silent else CallFailure.BROKEN
         self._fail(failure, "closed" if exc is None else str(exc))
 
-    def expect_answer(self, limits: CallLimits) -> asyncio.Future[HttpAnswer]:
+    def expect_answer(self, limits: CallLimits) -> asyncio.Future[HttpResponse]:
         """Return a future of the next answer; to be called before the request is sent."""
         if self._answer is not None or limits.waits:
             self._enable_silence_detection()
@@ -101,7 +101,7 @@
         if self._silence_detection_due:
             self._silence_detection_due = False
             assert self.transport is not None
-            notice_silence(self.transport.get_extra_info("socket"))
+            enable_silence_detection(self.transport.get_extra_info("socket"))
 
     def close(self) -> None:
         """Abort the connection and discard data in transit."""
@@ -120,7 +120,7 @@
         if not self._parser.should_keep_alive():
             self.closed = True
         status = self._parser.get_status_code()
-        answer = HttpAnswer(status, b"".join(self._body), self._headers)
+        answer = HttpResponse(status, b"".join(self._body), self._headers)
         if self._answer is not None and not self._answer.done():
             self._answer.set_result(answer)
 
@@ -161,16 +161,16 @@
     """Makes calls to one server, one at a time, from the address `local_host`.
 
     `on_silence` is called with each failure that a silent connection may have caused. Without
-    `notices_silence` the kernel does not detect silent connections.
+    `detects_silence` the kernel does not detect silent connections.
     """
 
     def __init__(
-        self, host: str, port: int, local_host: str, *, notices_silence: bool = True
+        self, host: str, port: int, local_host: str, *, detects_silence: bool = True
     ) -> None:
         self._host = host
         self._local_address = (local_host, 0)
         self._port = port
-        self._notices_silence = notices_silence
+        self._detects_silence = detects_silence
         self._protocol: _HttpProtocol | None = None
         self.on_silence: Callable[[CallFailure], None] = lambda failure: None
 
@@ -182,7 +182,7 @@
 
     async def call(
         self, method: str, path: str, limits: CallLimits, body: bytes = b""
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Make a call, connecting first if needed; raises CallFailedError."""
         protocol = await self._connected()
         try:
@@ -220,11 +220,11 @@
         return self._protocol
 
     def _make_protocol(self) -> _HttpProtocol:
-        return _HttpProtocol(notices_silence=self._notices_silence)
+        return _HttpProtocol(detects_silence=self._detects_silence)
 
     async def _exchange(
         self, protocol: _HttpProtocol, request: bytes, limits: CallLimits
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         try:
             answer = protocol.expect_answer(limits)
         except OSError as error:
--- a/src/beamloom/runtime/http_responder.py
+++ b/src/beamloom/runtime/http_responder.py
@@ -14,7 +14,7 @@
 import httptools
 
 from beamloom.runtime.connection_limits import ConnectionKind, ResponderLimits
-from beamloom.runtime.http_client import HttpAnswer
+from beamloom.runtime.http_client import HttpResponse
 
 _REASON_PHRASES = {
     200: "OK",
@@ -23,7 +23,7 @@
     503: "Service Unavailable",
 }
 
-Handler = Callable[[], HttpAnswer]
+Handler = Callable[[], HttpResponse]
 
 
 class _State(Enum):
@@ -75,13 +75,13 @@
         for connection in list(self._connections):
             connection.close()
 
-    def answer(self, method: str, path: str) -> HttpAnswer:
+    def answer(self, method: str, path: str) -> HttpResponse:
         """Return the answer to one request."""
         handler = self._handlers.get(path.partition("?")[0])
         if handler is None:
-            return HttpAnswer(404, b"no such path\n")
+            return HttpResponse(404, b"no such path\n")
         if method != "GET":
-            return HttpAnswer(405, b"only GET is answered here\n")
+            return HttpResponse(405, b"only GET is answered here\n")
         return handler()
 
     def add(self, connection: _Connection) -> None:
@@ -184,7 +184,7 @@
         answer = self._responder.answer(self._parser.get_method().decode("latin-1"), self._path)
         self._send(answer, keep_alive=self._parser.should_keep_alive())
 
-    def _send(self, answer: HttpAnswer, *, keep_alive: bool) -> None:
+    def _send(self, answer: HttpResponse, *, keep_alive: bool) -> None:
         assert self._transport is not None
         reason = _REASON_PHRASES[answer.status]
         head = f"HTTP/1.1 {answer.status} {reason}\r\nContent-Length: {len(answer.body)}\r\n"
--- a/src/beamloom/runtime/node_metrics.py
+++ b/src/beamloom/runtime/node_metrics.py
@@ -10,7 +10,7 @@
 from beamloom.replication.budget import BudgetSnapshot
 from beamloom.runtime.admission_metrics import read_tenant_metrics
 from beamloom.runtime.balancer import BalancerProcess
-from beamloom.telemetry.counters import Metric, MetricKind, Sample, counter, gauge, labelled
+from beamloom.telemetry.counters import Metric, MetricKind, Sample, counter, gauge, labelled_metric
 
 Counts = Mapping[str, int]
 
@@ -83,7 +83,7 @@
 def _members(core: NodeCore) -> Iterator[Metric]:
     snapshot = core.membership.snapshot()
     states = {state.name.lower(): n for state, n in snapshot.members_by_state.items()}
-    yield labelled("members", MetricKind.GAUGE, "Members by state.", "state", states)
+    yield labelled_metric("members", MetricKind.GAUGE, "Members by state.", "state", states)
     yield gauge("member_health_score", "0 when the node trusts itself.", snapshot.health_score)
     yield gauge("member_synchronized", "Whether the member list is whole.", snapshot.synchronized)
     events = asdict(snapshot.counters)
@@ -119,7 +119,7 @@
     yield gauge(
         "backend_checks_distrusted",
         "Whether this node's own checks all fail, so that it says nothing of backends.",
-        watchers.distrusts_itself,
+        watchers.suspects_local_fault,
     )
     yield counter(
         "backend_records_unknown",
@@ -137,12 +137,12 @@
     yield counter(
         "backend_refusals_seen",
         "Connections that backends refused to flows of this home.",
-        watchers.refusals_seen,
+        watchers.refusals,
     )
     yield counter(
         "backend_answer_times_seen",
         "Answer times taken from flows of this home.",
-        watchers.answer_times_seen,
+        watchers.answer_times,
     )
     yield gauge(
         "backend_reports_contradicted",
@@ -170,7 +170,7 @@
         ("dropped_messages", MetricKind.COUNTER, "Control messages dropped, cache hints only."),
     ):
         values = {priority: float(getattr(item, name)) for priority, item in queues.items()}
-        yield labelled(f"control_{name}", kind, help_text, "priority", values)
+        yield labelled_metric(f"control_{name}", kind, help_text, "priority", values)
 
 
 def _by_kind(name: str, help_text: str, counts: Counts, label: str = "kind") -> Metric:
--- a/src/beamloom/runtime/start.py
+++ b/src/beamloom/runtime/start.py
@@ -33,14 +33,14 @@
     gc.disable()
     folder = os.path.abspath(__file__).rsplit("/", LEVELS_UP)[0]
     sys.path[0] = folder  # this file's own folder would shadow modules of the same names
-    from beamloom.runtime.start_bundle import drop_bundle, use_bundle
+    from beamloom.runtime.start_bundle import install_bundle, remove_bundle
 
-    bundle = use_bundle(f"{folder}/{BUNDLE}")
+    bundle = install_bundle(f"{folder}/{BUNDLE}")
     from beamloom.runtime.deferred_modules import deferred
 
     with deferred():
         from beamloom.runtime.token_node_main import main as run_node
-    return run_node(lambda: drop_bundle(bundle))
+    return run_node(lambda: remove_bundle(bundle))
 
 
 if __name__ == "__main__":
--- a/src/beamloom/runtime/start_bundle.py
+++ b/src/beamloom/runtime/start_bundle.py
@@ -75,7 +75,7 @@
         exec(marshal.loads(self._code[offset : offset + length]), module.__dict__)
 
 
-def use_bundle(path: str) -> BundleFinder | None:
+def install_bundle(path: str) -> BundleFinder | None:
     """Import modules from a bundle; if it is unusable, print the reason and return None."""
     try:
         finder = read_bundle(path)
@@ -86,7 +86,7 @@
     return finder
 
 
-def drop_bundle(finder: BundleFinder | None) -> None:
+def remove_bundle(finder: BundleFinder | None) -> None:
     """Import modules only from where they were installed, and release the bundle's contents."""
     if finder is not None:
         sys.meta_path.remove(finder)
--- a/src/beamloom/runtime/store_follower.py
+++ b/src/beamloom/runtime/store_follower.py
@@ -256,7 +256,7 @@
         connection = HttpConnection(
             *settings.store.pair,
             local_host=settings.host,
-            notices_silence=self._mechanisms.silence_probes,
+            detects_silence=self._mechanisms.silence_probes,
         )
         connection.on_silence = functools.partial(self._record_silence, kind)
         self._connections.append(connection)
--- a/src/beamloom/runtime/store_reader.py
+++ b/src/beamloom/runtime/store_reader.py
@@ -30,7 +30,7 @@
     list_limits,
     watch_limits,
 )
-from beamloom.runtime.http_client import CallFailedError, CallFailure, HttpAnswer, HttpConnection
+from beamloom.runtime.http_client import CallFailedError, CallFailure, HttpConnection, HttpResponse
 from beamloom.telemetry.histogram import LatencyHistogram
 
 Record = TypeVar("Record")
@@ -131,7 +131,7 @@
             self.on_recovery(failures)
         return failure
 
-    def _report_new_era(self, answer: HttpAnswer) -> None:
+    def _report_new_era(self, answer: HttpResponse) -> None:
         """Report an era that differs from that of the previous answers."""
         era = self._kind.read_era(answer.headers)
         if era is not None and era != self.era:
@@ -148,7 +148,7 @@
             self._list_seconds = min(MAXIMUM_LIST_SECONDS, 2 * self._list_seconds)
         return failure.value
 
-    async def _call(self, request: ListRequest | WatchRequest) -> HttpAnswer:
+    async def _call(self, request: ListRequest | WatchRequest) -> HttpResponse:
         self.purposes[self._schedule.purpose.value] += 1
         if isinstance(request, ListRequest):
             limits = list_limits(self._list_seconds)
@@ -158,7 +158,7 @@
         return await self._connection.call("GET", path, watch_limits(wait))
 
     def _handle_answer(
-        self, request: ListRequest | WatchRequest, answer: HttpAnswer, asked_at: float
+        self, request: ListRequest | WatchRequest, answer: HttpResponse, asked_at: float
     ) -> str | None:
         if answer.status == STATUS_GONE:
             self.watch.handle_lost_history()
@@ -174,7 +174,7 @@
         return None
 
     def _apply_body(
-        self, request: ListRequest | WatchRequest, answer: HttpAnswer, asked_at: float
+        self, request: ListRequest | WatchRequest, answer: HttpResponse, asked_at: float
     ) -> tuple[ObjectChange[Record], ...]:
         answer_era = self._kind.read_era(answer.headers)
         era = self._view_era if answer_era is None else answer_era
--- a/src/beamloom/runtime/token_metrics.py
+++ b/src/beamloom/runtime/token_metrics.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from beamloom.model.store_revision import number_of
-from beamloom.telemetry.counters import Metric, MetricKind, gauge, histogram, labelled
+from beamloom.telemetry.counters import Metric, MetricKind, gauge, histogram, labelled_metric
 
 if TYPE_CHECKING:
     from beamloom.runtime.token_node import TokenNode
@@ -58,9 +58,9 @@
 def read_metrics(node: TokenNode) -> Iterator[Metric]:
     """Yield the current metrics of a node."""
     for name, counts in _counters(node).items():
-        yield labelled(name, MetricKind.COUNTER, HELP_TEXTS[name], "event", counts)
+        yield labelled_metric(name, MetricKind.COUNTER, HELP_TEXTS[name], "event", counts)
     moments: dict[str, float] = {str(name): at for name, at in node.start.timeline.seconds.items()}
-    yield labelled(
+    yield labelled_metric(
         "start_seconds", MetricKind.GAUGE, HELP_TEXTS["start_seconds"], "moment", moments
     )
     for name, value in _gauges(node).items():
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -29,7 +29,7 @@
 from beamloom.runtime.backend_check import BackendChecker
 from beamloom.runtime.connection_limits import ConnectionKind
 from beamloom.runtime.decision_log import DecisionLog
-from beamloom.runtime.http_client import HttpAnswer
+from beamloom.runtime.http_client import HttpResponse
 from beamloom.runtime.http_responder import HttpResponder
 from beamloom.runtime.limit_watch import LimitWatch
 from beamloom.runtime.packet_socket import PacketSocket
@@ -38,8 +38,8 @@
 from beamloom.runtime.start_timeline import StartLog, StartTimeline
 from beamloom.runtime.store_follower import StoreFollower
 from beamloom.settings.mechanisms import ALL_MECHANISMS, Mechanisms
-from beamloom.settings.token_node import FIELDS_OF_A_START, TokenNodeSettings, changed_fields
-from beamloom.telemetry.event_log import EventLog, standard_output
+from beamloom.settings.token_node import RESTART_FIELDS, TokenNodeSettings, changed_fields
+from beamloom.telemetry.event_log import EventLog, non_blocking_stdout
 from beamloom.telemetry.histogram import LatencyHistogram
 
 METRICS_PATH = "/metrics"
@@ -78,7 +78,7 @@
         self._mechanisms = mechanisms
         self._read_settings = read_settings
         rng = self._rng = random.Random()
-        self.log = EventLog(settings.node, standard_output())
+        self.log = EventLog(settings.node, non_blocking_stdout())
         self.decisions = DecisionLog(self.log, packet_layout.describe_flow, self._view_age)
         self.start = StartLog(timeline or StartTimeline(time.monotonic()), self.decisions.lifecycle)
         start = os.urandom(READER_ID_BYTES).hex()
@@ -167,7 +167,7 @@
         changed = changed_fields(self.settings, settings)
         self.settings = settings
         self.follower.use_settings(settings)
-        deferred = [name for name in changed if name in FIELDS_OF_A_START]
+        deferred = [name for name in changed if name in RESTART_FIELDS]
         self.decisions.lifecycle(
             "SettingsReloaded",
             changed=", ".join(changed) or None,
@@ -313,19 +313,19 @@
     def _view_age(self) -> float | None:
         return self.core.backends.age(asyncio.get_running_loop().time())
 
-    def _answer_metrics(self) -> HttpAnswer:
+    def _answer_metrics(self) -> HttpResponse:
         from beamloom.runtime.token_metrics import read_metrics
         from beamloom.telemetry.counters import make_registry, render
 
-        return HttpAnswer(200, render(make_registry(partial(read_metrics, self))))
+        return HttpResponse(200, render(make_registry(partial(read_metrics, self))))
 
-    def _answer_readiness(self) -> HttpAnswer:
+    def _answer_readiness(self) -> HttpResponse:
         self.start.record("readiness_asked")
         if self.ready:
             self.start.record("readiness_answered")
-            return HttpAnswer(200, b"ready\n")
+            return HttpResponse(200, b"ready\n")
         self._stop.record_miss(asyncio.get_running_loop().time())
-        return HttpAnswer(503, b"not ready\n")
+        return HttpResponse(503, b"not ready\n")
 
 
 def _evacuation_times(settings: TokenNodeSettings, mechanisms: Mechanisms) -> StoreCallTimes | None:
--- a/src/beamloom/settings/token_node.py
+++ b/src/beamloom/settings/token_node.py
@@ -78,7 +78,7 @@
     first_start: bool = True
 
 
-FIELDS_OF_A_START = frozenset(
+RESTART_FIELDS = frozenset(
     {
         "node",
         "host",
--- a/src/beamloom/telemetry/counters.py
+++ b/src/beamloom/telemetry/counters.py
@@ -71,7 +71,7 @@
     return Metric(name, MetricKind.HISTOGRAM, help_text, (), latencies=latencies)
 
 
-def labelled(
+def labelled_metric(
     name: str, kind: MetricKind, help_text: str, label: str, values: Mapping[str, float]
 ) -> Metric:
     """Return a metric with one label; `values` maps label values to metric values."""
--- a/src/beamloom/telemetry/event_log.py
+++ b/src/beamloom/telemetry/event_log.py
@@ -123,7 +123,7 @@
     return json.dumps(line).encode() + b"\n"
 
 
-def standard_output() -> Write:
+def non_blocking_stdout() -> Write:
     """Return a non-blocking writer to standard output; if there is none, it discards all data."""
     descriptor = 1
     try:
--- a/tests/functional/node_case.py
+++ b/tests/functional/node_case.py
@@ -19,7 +19,7 @@
 ADMIN_TOKEN = "admin-token"
 FLEET_KEY = bytes(range(32))
 FREE_ADDRESS = "127.0.0.1:0"
-PATIENCE_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 SETTINGS = """
 [node]
 id = "{node}"
@@ -123,7 +123,7 @@
             return answer.status, await answer.text()
 
     async def eventually(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while not condition():
                 await asyncio.sleep(0.01)
 
--- a/tests/functional/test_run_commands.py
+++ b/tests/functional/test_run_commands.py
@@ -8,7 +8,7 @@
 import sys
 
 from beamloom.cli.main import main
-from tests.functional.node_case import PATIENCE_SECONDS, NodeTestCase
+from tests.functional.node_case import TIMEOUT_SECONDS, NodeTestCase
 
 PROGRAM = "import sys; from beamloom.cli.main import main; sys.exit(main())"
 SERVICE = "tcp://10.0.0.1:80"
@@ -24,7 +24,7 @@
 
     async def wait_for_line(self, containing: str) -> str:
         """Return the next line of output or log that contains a text; skip other lines."""
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while line := (await self.stream().readline()).decode():
                 if containing in line:
                     return line
@@ -41,7 +41,7 @@
 
     async def wait(self) -> tuple[int, str]:
         """Wait for the exit; return the exit status and the rest of the output."""
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             rest = await self.stream().read()
             return await self.process.wait(), rest.decode()
 
@@ -100,7 +100,7 @@
         self.assertEqual(len((await self.client.list_machines()).leaving), 1)
 
     async def wait_for_machines(self, count: int) -> None:
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while len((await self.client.list_machines()).live) < count:
                 await asyncio.sleep(0.02)
 
--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -15,7 +15,7 @@
     list_limits,
     watch_limits,
 )
-from beamloom.runtime.http_client import CallFailedError, CallFailure, HttpAnswer, HttpConnection
+from beamloom.runtime.http_client import CallFailedError, CallFailure, HttpConnection, HttpResponse
 from beamloom.runtime.http_responder import HttpResponder
 from tests.functional.silent_proxy import Silence, SilentProxy
 from tests.functional.token_node_case import METRICS_PORT, TokenNodeCase
@@ -63,12 +63,12 @@
         self.connection.on_silence = self.reported.append
         await self.call()
 
-    def connect(self, *, notices_silence: bool = True) -> HttpConnection:
-        connection = HttpConnection(HOST, self.proxy.port, HOST, notices_silence=notices_silence)
+    def connect(self, *, detects_silence: bool = True) -> HttpConnection:
+        connection = HttpConnection(HOST, self.proxy.port, HOST, detects_silence=detects_silence)
         self.addCleanup(connection.close)
         return connection
 
-    async def call(self, limits: CallLimits = LIST, body: bytes = b"") -> HttpAnswer:
+    async def call(self, limits: CallLimits = LIST, body: bytes = b"") -> HttpResponse:
         return await self.connection.call("GET", "/objects", limits, body)
 
     async def failure(
@@ -147,7 +147,7 @@
     async def test_a_connection_that_has_just_ended_fails_the_call_alone(self) -> None:
         refusal = OSError("Bad file descriptor")
         with (
-            mock.patch.object(http_client, "notice_silence", side_effect=refusal),
+            mock.patch.object(http_client, "enable_silence_detection", side_effect=refusal),
             self.assertRaises(CallFailedError) as caught,
         ):
             await self.call()
@@ -155,7 +155,7 @@
         self.assertEqual((await self.call()).body, BODY)
 
     async def test_without_probes_only_the_deadline_detects_silence(self) -> None:
-        self.connection = self.connect(notices_silence=False)
+        self.connection = self.connect(detects_silence=False)
         self.connection.on_silence = self.reported.append
         self.proxy.opened = 0
         await self.call()
@@ -173,8 +173,8 @@
 class SilentCallersTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         handlers = {
-            "/ready": lambda: HttpAnswer(200, b"ready\n"),
-            "/large": lambda: HttpAnswer(200, LARGE_ANSWER),
+            "/ready": lambda: HttpResponse(200, b"ready\n"),
+            "/large": lambda: HttpResponse(200, LARGE_ANSWER),
         }
         self.responder = HttpResponder(handlers, ConnectionKind.READINESS, SHORT)
         with socket.socket() as free:
--- a/tests/functional/test_start_bundle.py
+++ b/tests/functional/test_start_bundle.py
@@ -21,11 +21,11 @@
 
 DROP_BUNDLE = """
 import sys
-from beamloom.runtime.start_bundle import drop_bundle, use_bundle
-finder = use_bundle(sys.argv[1])
+from beamloom.runtime.start_bundle import remove_bundle, install_bundle
+finder = install_bundle(sys.argv[1])
 from beamloom.runtime import token_node_main
 is_from_it = token_node_main.__loader__ is finder
-drop_bundle(finder)
+remove_bundle(finder)
 import asyncio  # is in the bundle, and is now imported from its own file
 print(is_from_it, len(finder._code), finder not in sys.meta_path)
 """
--- a/tests/unit/backend_status/test_exceptions.py
+++ b/tests/unit/backend_status/test_exceptions.py
@@ -5,7 +5,7 @@
 from beamloom.model.contracts import BackendOperatingStatus as Status
 from beamloom.model.machines import NodeId
 from beamloom.protocol.backend_messages import (
-    MAXIMUM_RECORDS_OF_REPAIR,
+    MAXIMUM_EXCEPTION_RECORDS,
     StatusBatch,
     StatusExceptions,
 )
@@ -81,7 +81,7 @@
         self.assertNotIn(Status.OFFLINE, self.statuses(BACKEND))
 
     def test_exceptions_that_exceed_one_message_arrive_in_parts(self) -> None:
-        many = self.numbers[: 2 * MAXIMUM_RECORDS_OF_REPAIR]
+        many = self.numbers[: 2 * MAXIMUM_EXCEPTION_RECORDS]
         self.deliver_records(FIRST, [(n, value(1, Status.OFFLINE)) for n in many], fresh=False)
         self.fleet.run(90.0)
         for number in many:
@@ -97,7 +97,7 @@
 
     def test_message_with_too_many_records_is_rejected(self) -> None:
         with self.assertRaises(ValueError):
-            StatusExceptions([1, 1] * (MAXIMUM_RECORDS_OF_REPAIR + 1), True, True)
+            StatusExceptions([1, 1] * (MAXIMUM_EXCEPTION_RECORDS + 1), True, True)
 
 
 if __name__ == "__main__":
--- a/tests/unit/backend_status/test_watchers.py
+++ b/tests/unit/backend_status/test_watchers.py
@@ -94,12 +94,12 @@
     def test_isolated_watcher_suspects_a_local_fault_and_causes_no_false_status(self) -> None:
         self.fleet.isolated = {self.watchers[0]}
         self.fleet.run(60.0)
-        self.assertTrue(self.fleet.nodes[self.watchers[0]].snapshot().distrusts_itself)
+        self.assertTrue(self.fleet.nodes[self.watchers[0]].snapshot().suspects_local_fault)
         for number in (BACKEND, BACKEND + 1, BACKEND + 8):
             self.assertEqual(statuses(self.fleet, number), {Status.ONLINE})
         self.fleet.isolated = set()
         self.fleet.run(20.0)
-        self.assertFalse(self.fleet.nodes[self.watchers[0]].snapshot().distrusts_itself)
+        self.assertFalse(self.fleet.nodes[self.watchers[0]].snapshot().suspects_local_fault)
         self.assertEqual(statuses(self.fleet), {Status.ONLINE})
 
     def test_other_nodes_take_over_when_both_watchers_are_lost(self) -> None:
--- a/tests/unit/routing/test_balanced_requests.py
+++ b/tests/unit/routing/test_balanced_requests.py
@@ -15,7 +15,7 @@
 from beamloom.node.routing_hooks import RefusalPackets
 from beamloom.protocol.commands import Command, SendPacket
 from beamloom.routing.forwarder import Forwarder
-from beamloom.routing.hooks import AssumedHealth, PermissiveAdmission, RoutingHooks
+from beamloom.routing.hooks import PermissiveAdmission, RoutingHooks, StaticHealth
 from beamloom.routing.ownership import JOIN_WAIT_SECONDS
 from beamloom.standins.backend_model import BackendModel, BackendOptions
 from beamloom.standins.client_model import Outcome
@@ -35,7 +35,7 @@
 
     def __init__(self, model: BackendModel, deadline: float = DEADLINE) -> None:
         super().__init__(model)
-        hooks = RoutingHooks(PermissiveAdmission(), RefusalPackets(), AssumedHealth())
+        hooks = RoutingHooks(PermissiveAdmission(), RefusalPackets(), StaticHealth())
         self.forwarder = Forwarder(machine(0), b"key", (GATEWAY,), hooks)
         policy = ServicePolicy(request_deadline=deadline)
         self.forwarder.update_services([service([[backend(1)]], policy=policy)], [], 0.0)
--- a/tests/unit/routing/test_deadline_enforcer.py
+++ b/tests/unit/routing/test_deadline_enforcer.py
@@ -12,7 +12,7 @@
 from beamloom.node.routing_hooks import RefusalPackets
 from beamloom.routing.explanation import FlowExplanation
 from beamloom.routing.flow_deadlines import FlowDeadlines
-from beamloom.routing.hooks import AssumedHealth, PermissiveAdmission, RoutingHooks
+from beamloom.routing.hooks import PermissiveAdmission, RoutingHooks, StaticHealth
 from beamloom.routing.packet import DropReason
 from tests.unit.routing.fleet import (
     ACK,
@@ -34,7 +34,7 @@
 
 
 def fleet_of(*numbers: int, protocol: TransportProtocol = TransportProtocol.TCP) -> Fleet:
-    fleet = Fleet(hooks=RoutingHooks(PermissiveAdmission(), RefusalPackets(), AssumedHealth()))
+    fleet = Fleet(hooks=RoutingHooks(PermissiveAdmission(), RefusalPackets(), StaticHealth()))
     fleet.configure(service(BACKENDS, protocol, DEADLINE))
     fleet.add(*numbers)
     fleet.run(1.0)
--- a/tests/unit/routing/test_evidence.py
+++ b/tests/unit/routing/test_evidence.py
@@ -10,8 +10,8 @@
 from beamloom.node.routing_hooks import ObservedHealth, RefusalPackets
 from beamloom.protocol.events import BackendChecked
 from beamloom.replication.backend_status.views import BackendView
-from beamloom.routing.answer_times import AWAITED_FLOWS, AnswerTimes
-from beamloom.routing.hooks import AssumedHealth, PermissiveAdmission, RoutingHooks
+from beamloom.routing.answer_times import MAXIMUM_PENDING_FLOWS, AnswerTimes
+from beamloom.routing.hooks import PermissiveAdmission, RoutingHooks, StaticHealth
 from tests.unit.backend_status.fleet import Fleet as WatcherFleet
 from tests.unit.routing.fleet import ACK, GATEWAY, RST, SYN, Fleet, answer, backend, service, tcp
 
@@ -75,7 +75,7 @@
     def test_only_the_first_answer_to_the_first_payload_counts(self) -> None:
         seen: list[tuple[int, float]] = []
 
-        class Recorder(AssumedHealth):
+        class Recorder(StaticHealth):
             def observe_answer_time(self, backend_number: int, seconds: float, now: float) -> None:
                 seen.append((backend_number, seconds))
 
@@ -86,7 +86,7 @@
         times.answered(1, 9.0)
         times.payload_sent(2, 8, 1.0)
         times.answered(2, 99.0)
-        for key in range(AWAITED_FLOWS + 1):
+        for key in range(MAXIMUM_PENDING_FLOWS + 1):
             times.payload_sent(key, 9, 2.0)
         times.answered(0, 2.5)
         self.assertEqual(seen, [(7, 0.5)])
--- a/tests/unit/routing/test_forwarder.py
+++ b/tests/unit/routing/test_forwarder.py
@@ -14,10 +14,10 @@
 from beamloom.routing.cache_answers import MAXIMUM_SET_SIZE, ROTATION_SECONDS, RelayedFlows
 from beamloom.routing.explanation import FlowRole
 from beamloom.routing.hooks import (
-    AssumedHealth,
+    NoRefusals,
     PermissiveAdmission,
     RoutingHooks,
-    SilentRefusal,
+    StaticHealth,
 )
 from beamloom.routing.ownership import JOIN_WAIT_SECONDS
 from beamloom.routing.packet import DropReason, parse_packet, with_hop_limit_decremented
@@ -158,7 +158,7 @@
         ended: list[str] = []
         gate = PermissiveAdmission()
         gate.flow_ended = lambda service: ended.append(service.tenant)  # type: ignore[method-assign]
-        fleet = Fleet(hooks=RoutingHooks(gate, SilentRefusal(), AssumedHealth()))
+        fleet = Fleet(hooks=RoutingHooks(gate, NoRefusals(), StaticHealth()))
         fleet.configure(service(BACKENDS))
         fleet.add(0)
         reached = [fleet.open(client) for client in range(40)]
--- a/tests/unit/routing/test_requests.py
+++ b/tests/unit/routing/test_requests.py
@@ -14,11 +14,11 @@
 from beamloom.model.machines import NodeId
 from beamloom.routing.hashing import partition_of
 from beamloom.routing.hooks import (
-    AssumedHealth,
     FlowAdmission,
+    NoRefusals,
     PermissiveAdmission,
     RoutingHooks,
-    SilentRefusal,
+    StaticHealth,
 )
 from beamloom.routing.ownership import JOIN_WAIT_SECONDS
 from beamloom.routing.packet import DropReason
@@ -40,7 +40,7 @@
 NEVER = ServicePolicy(request_repeat=RepeatPolicy.NEVER)
 
 
-class Health(AssumedHealth):
+class Health(StaticHealth):
     """Reports the given backends as offline."""
 
     def __init__(self, *offline: int) -> None:
@@ -62,7 +62,7 @@
         return False
 
 
-class Refusal(SilentRefusal):
+class Refusal(NoRefusals):
     def build(self, packet: bytes, retry_after: float, no_backend: bool) -> bytes | None:
         return b"refused"
 
@@ -174,21 +174,21 @@
 
     def test_without_retry_budget_the_reset_is_forwarded(self) -> None:
         gate = ClosedGate()
-        hooks = RoutingHooks(gate, SilentRefusal(), AssumedHealth())
+        hooks = RoutingHooks(gate, NoRefusals(), StaticHealth())
         gate.admit_flow = PermissiveAdmission().admit_flow  # type: ignore[method-assign]
         fleet = fleet_of(0, 1, contract=service(BACKENDS), hooks=hooks)
         first = fleet.open(1)
         self.assertEqual(fleet.answer(answer(1, RST), first), [GATEWAY])
 
     def test_a_refused_flow_reaches_no_backend(self) -> None:
-        hooks = RoutingHooks(ClosedGate(), Refusal(), AssumedHealth())
+        hooks = RoutingHooks(ClosedGate(), Refusal(), StaticHealth())
         fleet = fleet_of(0, 1, contract=service(BACKENDS), hooks=hooks)
         fleet.send(tcp(1, SYN))
         fleet.run(0.1)
         self.assertEqual(fleet.arrived, [(GATEWAY, b"refused")])
 
     def test_offline_and_draining_backends_get_no_new_flow(self) -> None:
-        hooks = RoutingHooks(PermissiveAdmission(), SilentRefusal(), Health(1, 2))
+        hooks = RoutingHooks(PermissiveAdmission(), NoRefusals(), Health(1, 2))
         group = [backend(1), backend(2), backend(3), backend(4, draining=True)]
         fleet = fleet_of(0, 1, contract=service([group]), hooks=hooks)
         reached = {fleet.open(client) for client in range(50)}
--- a/tests/unit/routing/test_selection.py
+++ b/tests/unit/routing/test_selection.py
@@ -8,7 +8,7 @@
 
 from beamloom.model.contracts import BackendOperatingStatus, PlacementPreference, ServicePolicy
 from beamloom.routing.hashing import SLOT_COUNT
-from beamloom.routing.hooks import AssumedHealth
+from beamloom.routing.hooks import StaticHealth
 from beamloom.routing.selection import PlacementReason, choose_backend
 from beamloom.routing.services import RouteTable
 from tests.unit.routing.fleet import backend, service
@@ -17,7 +17,7 @@
 SEEDS = range(1, 6)
 
 
-class Health(AssumedHealth):
+class Health(StaticHealth):
     """Reports some backends offline and a weight factor for backend 2."""
 
     def __init__(self, offline: frozenset[int] = frozenset(), factor: float = 1.0) -> None:
@@ -44,7 +44,7 @@
         for routes in self.routes:
             routes.update([service([BACKENDS], policy=policy)])
 
-    def open(self, flows: int, health: AssumedHealth) -> None:
+    def open(self, flows: int, health: StaticHealth) -> None:
         for _ in range(flows):
             routes = self.random.choice(self.routes)
             route = routes.by_service_number[1]
--- a/tests/unit/tokens/test_own_limits.py
+++ b/tests/unit/tokens/test_own_limits.py
@@ -19,7 +19,7 @@
 from beamloom.platform.node_settings import check_settings
 from beamloom.protocol.view_messages import AskElsewhere, ViewDigest, ViewPart, ViewRequest
 from beamloom.replication.answer_budget import MAXIMUM_REFERRALS
-from beamloom.replication.fleet_share import DRAWS_TO_CHANGE, FleetShare
+from beamloom.replication.fleet_share import RESULTS_TO_CHANGE, FleetShare
 from beamloom.routing.tokens.packets import ForwardPacket
 from beamloom.runtime.limit_watch import LimitWatch
 from beamloom.runtime.own_usage import SLOW_SAMPLE_INTERVAL, UsageProbe
@@ -211,7 +211,7 @@
         share = self.share(own)
         keys = [key for key in range(200) if not share.is_assigned(key, NOW)]
         share.peers._last_seen = {}
-        for draw in range(DRAWS_TO_CHANGE):
+        for draw in range(RESULTS_TO_CHANGE):
             held = [share.is_assigned(key, NOW + 1.0 + draw * 1.1) for key in keys]
         self.assertTrue(all(held))
 
--- a/tests/unit/tokens/test_settings.py
+++ b/tests/unit/tokens/test_settings.py
@@ -8,7 +8,7 @@
 
 from beamloom.platform.errors import PlatformSettingsError
 from beamloom.platform.node_settings import check_settings, read_settings
-from beamloom.settings.token_node import FIELDS_OF_A_START, Endpoint, changed_fields
+from beamloom.settings.token_node import RESTART_FIELDS, Endpoint, changed_fields
 
 SETTINGS = """
 node-name = "front-1"
@@ -79,6 +79,6 @@
             before = read_settings(Path(file.name))
         after = before._replace(drain_seconds=9.0, zone="nabua")
         self.assertEqual(changed_fields(before, after), ["zone", "drain_seconds"])
-        self.assertIn("zone", FIELDS_OF_A_START)
-        self.assertNotIn("store", FIELDS_OF_A_START)
-        self.assertNotIn("stop_seconds", FIELDS_OF_A_START)
+        self.assertIn("zone", RESTART_FIELDS)
+        self.assertNotIn("store", RESTART_FIELDS)
+        self.assertNotIn("stop_seconds", RESTART_FIELDS)
--- a/tests/unit/views/test_store_reader.py
+++ b/tests/unit/views/test_store_reader.py
@@ -8,7 +8,7 @@
 from beamloom.replication.object_watch import ChangeBatch, ListPage
 from beamloom.routing.tokens.records import BackendRecord
 from beamloom.runtime.connection_limits import CallLimits
-from beamloom.runtime.http_client import CallFailedError, CallFailure, HttpAnswer, HttpConnection
+from beamloom.runtime.http_client import CallFailedError, CallFailure, HttpConnection, HttpResponse
 from beamloom.runtime.store_reader import KindFormat, StoreReader
 from tests.unit.tokens.builders import new_core
 
@@ -38,7 +38,7 @@
 
     async def call(
         self, method: str, path: str, limits: CallLimits, body: bytes = b""
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         if not self._script:
             self.exhausted.set()
             await asyncio.Event().wait()
@@ -47,7 +47,7 @@
         failure = self._script.pop(0)
         if failure is not None:
             raise CallFailedError(failure, "scripted")
-        return HttpAnswer(200, b"", {b"store-era": b"4"})
+        return HttpResponse(200, b"", {b"store-era": b"4"})
 
 
 class StoreReaderTest(unittest.IsolatedAsyncioTestCase):
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -26,8 +26,8 @@
 BUNDLE = """
 import gc, os
 gc.disable()
-from beamloom.runtime.start_bundle import drop_bundle, use_bundle
-bundle = use_bundle(os.environ["PYTHONPATH"] + "/start.bundle")
+from beamloom.runtime.start_bundle import remove_bundle, install_bundle
+bundle = install_bundle(os.environ["PYTHONPATH"] + "/start.bundle")
 """
 PLACEHOLDERS = f"{BUNDLE}from beamloom.runtime.deferred_modules import deferred\n"
 MAIN = f"{PLACEHOLDERS}with deferred():\n    import beamloom.runtime.token_node_main as main\n"
