--- a/src/beamloom/cli/errors.py
+++ b/src/beamloom/cli/errors.py
@@ -29,12 +29,13 @@
 
 
 class FileKindError(CommandError):
-    """A file is of none of the kinds that `beamloom check` knows."""
+    """A file is not of a kind that `beamloom check` accepts."""
 
     def __init__(self) -> None:
         super().__init__(
-            "not a node's settings, a deployment or a deploy file: give a table [node], "
-            "[bind-addrs] (token node), [[tenants]] or [roles]; see the files in beamloom/examples"
+            "unknown kind of file: give the settings of a node (table [node]), the settings of a "
+            "token node as the platform writes them, a deployment (tables [[tenants]]) or a deploy "
+            "file (tables [roles.NAME]); beamloom/examples has a node's settings and deployments"
         )
 
 
