--- a/src/beamloom/runtime/bound_socket.py
+++ b/src/beamloom/runtime/bound_socket.py
@@ -9,7 +9,7 @@
 RECEIVE_BUFFER_BYTES = 4 << 20
 
 
-def bind_datagrams(address: Endpoint) -> socket.socket:
+def bind_datagram_socket(address: Endpoint) -> socket.socket:
     """Return a non-blocking UDP socket bound to `address`; raises OSError."""
     datagram_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     datagram_socket.setblocking(False)
--- a/src/beamloom/runtime/fleet_secret.py
+++ b/src/beamloom/runtime/fleet_secret.py
@@ -56,7 +56,8 @@
     """Fetches the secret and keeps it in the store; `known` holds the current one, then older ones.
 
     `open_link` returns the socket for peers, or None if it cannot be opened. `on_change` is called
-    when `keep` has replaced the current secret. Without `asks_peers` only the store is asked.
+    when `keep` has replaced the current secret. Without `requests_from_peers` only the store is
+    asked.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         open_link: Callable[[], PeerLink | None],
         *,
         decisions: DecisionLog,
-        asks_peers: bool,
+        requests_from_peers: bool,
     ) -> None:
         self.settings = settings
         self.known: tuple[bytes, ...] = ()
@@ -78,7 +79,7 @@
         self._connection = connection
         self._open_link = open_link
         self._decisions = decisions
-        self._asks_peers = asks_peers
+        self._requests_from_peers = requests_from_peers
         self._requester: SecretRequester | None = None
         self._responder: SecretResponder | None = None
         self._from_peer: asyncio.Future[bytes] | None = None
@@ -178,7 +179,7 @@
 
     async def _ask_peers(self, steps: SharedSecret) -> bytes:
         """Ask the seeds once the store fails, is late or holds no secret; return their answer."""
-        if not self._asks_peers:
+        if not self._requests_from_peers:
             await asyncio.Event().wait()
         began = _now()
         while not (steps.failures or steps.found_none or _now() - began >= ASK_PEERS_AFTER_SECONDS):
--- a/src/beamloom/runtime/http_client.py
+++ b/src/beamloom/runtime/http_client.py
@@ -87,7 +87,7 @@
         failure = CallFailure.SILENT if silent else CallFailure.BROKEN
         self._fail(failure, "closed" if exc is None else str(exc))
 
-    def expect_answer(self, limits: CallLimits) -> asyncio.Future[HttpResponse]:
+    def begin_response(self, limits: CallLimits) -> asyncio.Future[HttpResponse]:
         """Return a future of the next answer; to be called before the request is sent."""
         if self._answer is not None or limits.waits:
             self._enable_silence_detection()
@@ -226,7 +226,7 @@
         self, protocol: _HttpProtocol, request: bytes, limits: CallLimits
     ) -> HttpResponse:
         try:
-            answer = protocol.expect_answer(limits)
+            answer = protocol.begin_response(limits)
         except OSError as error:
             # Setting socket options failed because the connection was just closed.
             raise CallFailedError(CallFailure.BROKEN, str(error)) from error
--- a/src/beamloom/runtime/machine_list.py
+++ b/src/beamloom/runtime/machine_list.py
@@ -1,6 +1,6 @@
 """Registers this machine in the platform's list and delivers that list to the core.
 
-The list is only a hint: failures are counted and retried at the next turn, and the node continues
+The list is only a hint: failures are counted and retried at the next update, and the node continues
 without it.
 """
 
@@ -18,7 +18,7 @@
 from beamloom.object_api.wire import MachineListing
 from beamloom.protocol.events import Event, MachinesListed
 
-TURN_SECONDS = 5.0
+UPDATE_INTERVAL_SECONDS = 5.0
 
 
 class MachineClient(Protocol):
@@ -48,25 +48,25 @@
         client: MachineClient,
         machine: Machine,
         deliver: Callable[[Event], None],
-        turn_seconds: float = TURN_SECONDS,
+        interval_seconds: float = UPDATE_INTERVAL_SECONDS,
     ) -> None:
         self.counters: Counter[str] = Counter()
         self.last_failure: str | None = None
         self._client = client
         self._machine = machine
         self._deliver = deliver
-        self._turn_seconds = turn_seconds
+        self._interval_seconds = interval_seconds
         self._registered = False
         self._state = "unknown"
         self._log = structlog.get_logger().bind(node=machine.node_id)
 
     async def run(self) -> None:
-        """Take turns until cancelled."""
+        """Update once per interval until cancelled."""
         while True:
-            await self.take_turn()
-            await asyncio.sleep(self._turn_seconds)
+            await self.update()
+            await asyncio.sleep(self._interval_seconds)
 
-    async def take_turn(self) -> None:
+    async def update(self) -> None:
         """Register or send a heartbeat, then deliver the list; failures are counted."""
         if await self._attempt("report", self._report):
             await self._attempt("list", self._list)
--- a/src/beamloom/runtime/packet_socket.py
+++ b/src/beamloom/runtime/packet_socket.py
@@ -62,14 +62,14 @@
         """Start to receive packets, beginning with those queued in the socket; may be repeated."""
         self._loop.add_reader(self._socket, self._read_batch)
 
-    def start_without_waiting_openings(self) -> None:
+    def start_dropping_queued_openings(self) -> None:
         """Start to receive packets, but drop the opening packets queued in the socket."""
-        self.discard_waiting_openings()
+        self.drop_queued_openings()
         while self._drops_openings:
             self._read_batch()
         self.start()
 
-    def discard_waiting_openings(self) -> None:
+    def drop_queued_openings(self) -> None:
         """Drop opening packets until the socket's queue is empty; may be called in `before_batch`.
 
         Their clients may have sent copies through other nodes, and a flow breaks if a second
--- a/src/beamloom/runtime/start_timeline.py
+++ b/src/beamloom/runtime/start_timeline.py
@@ -48,13 +48,13 @@
 class StartTimeline:
     """The moments of a start so far, each recorded once and in order; without I/O.
 
-    `began_at` is when the process began, on the monotonic clock. Without `knows_processor_time`,
+    `began_at` is when the process began, on the monotonic clock. Without `has_processor_time`,
     processor times are neither recorded nor reported.
     """
 
-    def __init__(self, began_at: float, *, knows_processor_time: bool = True) -> None:
+    def __init__(self, began_at: float, *, has_processor_time: bool = True) -> None:
         self.began_at = began_at
-        self._knows_processor_time = knows_processor_time
+        self._has_processor_time = has_processor_time
         self.seconds: dict[Moment, float] = {}
         self.processor_seconds: dict[Moment, float] = {}
         self.outcome: Outcome | None = None
@@ -66,7 +66,7 @@
         """Record the first occurrence of a moment; later ones are ignored."""
         if moment not in self.seconds:
             self.seconds[moment] = now - self.began_at
-            if self._knows_processor_time:
+            if self._has_processor_time:
                 self.processor_seconds[moment] = processor_seconds
 
     def is_overdue(self, now: float) -> bool:
@@ -155,7 +155,7 @@
     """
     known = 0.0 < processor_seconds <= MAXIMUM_INTERPRETER_SECONDS
     began_at = first_at - processor_seconds if known else first_at
-    timeline = StartTimeline(began_at, knows_processor_time=known)
+    timeline = StartTimeline(began_at, has_processor_time=known)
     timeline.record("interpreter", first_at, processor_seconds)
     return timeline
 
--- a/src/beamloom/runtime/store_follower.py
+++ b/src/beamloom/runtime/store_follower.py
@@ -92,7 +92,7 @@
             self._connect(ConnectionKind.SECRET),
             self._open_link,
             decisions=decisions,
-            asks_peers=mechanisms.key_from_peers,
+            requests_from_peers=mechanisms.key_from_peers,
         )
         self.secret.on_change = self._apply_secrets
         self.readers: list[StoreReader[Any]] = [
--- a/src/beamloom/runtime/store_reader.py
+++ b/src/beamloom/runtime/store_reader.py
@@ -95,7 +95,7 @@
         """List and watch until cancelled."""
         try:
             while True:
-                await self._wait_for_turn()
+                await self._wait_for_call()
                 failure = await self._call_once()
                 if failure is not None:
                     self._pause_seconds = self._schedule.note_failure(_now())
@@ -105,7 +105,7 @@
         finally:
             self._connection.close()
 
-    async def _wait_for_turn(self) -> None:
+    async def _wait_for_call(self) -> None:
         if self._schedule.must_ask(_now()):
             return
         self._connection.close()
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -291,7 +291,7 @@
             self._was_ready = True
             self.start.record("ready")
             if time.monotonic() - self._started_at > MAXIMUM_OPENING_WAIT_SECONDS:
-                self._packets.start_without_waiting_openings()
+                self._packets.start_dropping_queued_openings()
             else:
                 self._packets.start()
             version = self.core.router.routes.version
@@ -302,7 +302,7 @@
     def _before_packets(self, now: float) -> None:
         """After a stall, drop the opening packets that are queued in the socket's buffer."""
         if self._mechanisms.discard_after_stall and self.core.consume_stall(now):
-            self._packets.discard_waiting_openings()
+            self._packets.drop_queued_openings()
 
     def _log_packet_fault(self, error: Exception) -> None:
         self.decisions.lifecycle("PacketFault", error=repr(error), where=_origin(error))
--- a/src/beamloom/runtime/token_node_main.py
+++ b/src/beamloom/runtime/token_node_main.py
@@ -21,7 +21,7 @@
 from beamloom.platform.errors import PlatformSettingsError
 from beamloom.platform.node_settings import read_settings, settings_path
 from beamloom.runtime import IMPORTED_AT_PROCESSOR_SECONDS, IMPORTED_AT_SECONDS
-from beamloom.runtime.bound_socket import bind_datagrams
+from beamloom.runtime.bound_socket import bind_datagram_socket
 from beamloom.runtime.deferred_modules import deferred
 from beamloom.runtime.start_timeline import begin_timeline, record_now
 from beamloom.settings.mechanisms import UnknownMechanismError, read_mechanisms
@@ -48,7 +48,7 @@
         mechanisms = read_mechanisms(os.environ)
         settings = read()
         record_now(timeline, "settings")
-        packets = bind_datagrams(settings.packets)
+        packets = bind_datagram_socket(settings.packets)
         record_now(timeline, "socket")
     except (PlatformSettingsError, UnknownMechanismError, OSError) as error:
         print(error, file=sys.stderr)
--- a/src/beamloom/simulation/tokens/fleet.py
+++ b/src/beamloom/simulation/tokens/fleet.py
@@ -94,7 +94,7 @@
         self.rng = random.Random(seed)
         self.clock = VirtualClock()
         self.store = TokenStore()
-        self.store.stale_behind = STALE_READ_LAG
+        self.store.stale_read_lag = STALE_READ_LAG
         self.link = StoreLink(self.clock, self.store)
         self.oracle = TokenOracle()
         self.nodes: dict[str, SimulatedTokenNode] = {}
@@ -193,16 +193,16 @@
 
     def _rewrite_configuration(self) -> None:
         configuration = configuration_of(self.version, self.routes)
-        self.store.put_if_other(CONFIGURATION, CONFIGURATION_NAME, configuration)
+        self.store.put_if_different(CONFIGURATION, CONFIGURATION_NAME, configuration)
         for zone in ZONES:
             if zone in self.evacuated:
-                self.store.put_if_other(EVACUATIONS, zone, ZoneEvacuation(zone))
+                self.store.put_if_different(EVACUATIONS, zone, ZoneEvacuation(zone))
             else:
-                self.store.remove_if_there(EVACUATIONS, zone)
+                self.store.remove_if_present(EVACUATIONS, zone)
 
     def _rewrite_entry(self, endpoint: Endpoint) -> None:
         if endpoint.alive:
-            self.store.put_if_other(BACKENDS, endpoint.record.name, endpoint.record)
+            self.store.put_if_different(BACKENDS, endpoint.record.name, endpoint.record)
 
     def compact_store(self) -> None:
         """Discard the store's history of changes."""
@@ -269,7 +269,7 @@
 
     def _end_evacuation(self, zone: str) -> None:
         self.evacuated.discard(zone)
-        self.store.remove_if_there(EVACUATIONS, zone)
+        self.store.remove_if_present(EVACUATIONS, zone)
         self.oracle.note_evacuation_ended(zone, self.clock.now)
 
     def run(self, seconds: float) -> None:
@@ -335,7 +335,7 @@
             return
         identity, packet = forwarded
         now = self.clock.now
-        if not packet.is_intact:
+        if not packet.has_valid_checksum:
             self.oracle.report("unasked", now, f"an altered packet at {endpoint.record.name}")
         if packet.flags & FLAG_SYN and identity == endpoint.model.identity:
             destination = key_of(packet.destination)
@@ -362,5 +362,5 @@
         self._remove_entry(endpoint)
 
     def _remove_entry(self, endpoint: Endpoint) -> None:
-        self.store.remove_if_there(BACKENDS, endpoint.record.name)
+        self.store.remove_if_present(BACKENDS, endpoint.record.name)
         self.oracle.note_withdrawn(endpoint.record.name, self.clock.now)
--- a/src/beamloom/simulation/tokens/run.py
+++ b/src/beamloom/simulation/tokens/run.py
@@ -105,7 +105,7 @@
         )
     _schedule_restores(fleet, options, schedule)
     while fleet.clock.now < end:
-        plan = FlowPlan(requests=rng.randrange(1, 6), rest_seconds=rng.uniform(0.2, 3.0))
+        plan = FlowPlan(requests=rng.randrange(1, 6), pause_seconds=rng.uniform(0.2, 3.0))
         fleet.clients.open_flow(rng.choice((1, 2)), plan)
         fleet.run(OPENING_INTERVAL_SECONDS)
     fleet.run(QUIET_END_SECONDS)
--- a/src/beamloom/soak/endpoint.py
+++ b/src/beamloom/soak/endpoint.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from beamloom.routing.tokens.records import BackendRecord
-from beamloom.runtime.bound_socket import bind_datagrams
+from beamloom.runtime.bound_socket import bind_datagram_socket
 from beamloom.settings.token_node import Endpoint
 from beamloom.standins.listener import Listener
 from beamloom.standins.token_endpoint import TokenEndpoint
@@ -21,7 +21,7 @@
         self.record = record
         self.alive = True
         self.restarted = False
-        self.socket = bind_datagrams(Endpoint(record.host, record.port))
+        self.socket = bind_datagram_socket(Endpoint(record.host, record.port))
         self.listener = Listener(record.host, record.port)
 
     def stop(self) -> None:
--- a/src/beamloom/soak/harness.py
+++ b/src/beamloom/soak/harness.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from beamloom.platform.packet_layout import FLAG_RST, FLAG_SYN
-from beamloom.runtime.bound_socket import bind_datagrams
+from beamloom.runtime.bound_socket import bind_datagram_socket
 from beamloom.settings.token_node import Endpoint
 from beamloom.simulation.tokens.changes import zones_of
 from beamloom.simulation.tokens.deployment import key_of, service_end, stable_hash
@@ -237,7 +237,7 @@
     def _check_arrival(
         self, endpoint: SoakEndpoint, host: str, identity: int, packet: FlowPacket
     ) -> None:
-        if not packet.is_intact:
+        if not packet.has_valid_checksum:
             detail = f"an altered packet at {endpoint.record.name}"
             self.oracle.report("unasked", self.now, detail)
         if packet.flags & FLAG_SYN and identity == endpoint.model.identity:
@@ -297,7 +297,9 @@
     for number in (*range(first, NETWORKS), *range(first)):
         network = f"127.{FIRST_NETWORK + number}"
         try:
-            return network, bind_datagrams(Endpoint(f"{network}{CLIENT_HOST_SUFFIX}", PACKETS_PORT))
+            return network, bind_datagram_socket(
+                Endpoint(f"{network}{CLIENT_HOST_SUFFIX}", PACKETS_PORT)
+            )
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
--- a/src/beamloom/soak/platform_faults.py
+++ b/src/beamloom/soak/platform_faults.py
@@ -79,11 +79,11 @@
     def _rewrite_configuration(self) -> None:
         store = self._platform.server.store
         content = self._platform.configuration
-        store.put_if_other(CONFIGURATION_KIND, CONFIGURATION_NAME, content)
+        store.put_if_different(CONFIGURATION_KIND, CONFIGURATION_NAME, content)
         for zone in ZONES:
             if zone in self._platform.evacuated:
-                store.put_if_other(EVACUATIONS_KIND, zone, {})
-            elif store.remove_if_there(EVACUATIONS_KIND, zone):
+                store.put_if_different(EVACUATIONS_KIND, zone, {})
+            elif store.remove_if_present(EVACUATIONS_KIND, zone):
                 self._platform.note_stale_evacuation_ended(zone)
         self._platform.server.note_change()
 
@@ -138,5 +138,5 @@
     def _remove_foreign(self) -> None:
         for number in range(1, self._foreign_count + 1):
             name = f"i-{FIRST_FOREIGN_IDENTITY + number:08x}"
-            self._platform.server.store.remove_if_there(BACKENDS_KIND, name)
+            self._platform.server.store.remove_if_present(BACKENDS_KIND, name)
         self._platform.server.note_change()
--- a/src/beamloom/soak/platform_side.py
+++ b/src/beamloom/soak/platform_side.py
@@ -54,7 +54,7 @@
         call_later: Callable[[float, Callable[[], object]], None],
     ) -> None:
         self.server = TokenStoreServer(TokenStore())
-        self.server.store.stale_behind = STALE_READ_LAG
+        self.server.store.stale_read_lag = STALE_READ_LAG
         self.endpoints: list[SoakEndpoint] = []
         self.configuration: dict[str, Any] = {}
         self.evacuated: set[str] = set()
@@ -241,7 +241,7 @@
             if endpoint.alive and not endpoint.model.draining and endpoint.record.zone == zone:
                 self._begin_warm_up(endpoint)
         self.evacuated.discard(zone)
-        self.server.store.remove_if_there(EVACUATIONS_KIND, zone)
+        self.server.store.remove_if_present(EVACUATIONS_KIND, zone)
         self.server.note_change()
         self._oracle.note_evacuation_ended(zone, self._now())
 
@@ -300,7 +300,7 @@
         """Remove the entry of an endpoint that has ended, unless it was restarted."""
         if endpoint.restarted:
             return
-        self.server.store.remove_if_there(BACKENDS_KIND, endpoint.record.name)
+        self.server.store.remove_if_present(BACKENDS_KIND, endpoint.record.name)
         self.server.note_change()
         self._oracle.note_withdrawn(endpoint.record.name, self._now())
 
--- a/src/beamloom/soak/run.py
+++ b/src/beamloom/soak/run.py
@@ -88,7 +88,7 @@
     last_fault = end - QUIET_END_SECONDS
     next_fault = harness.now + SETTLE_SECONDS
     while harness.now < end:
-        plan = FlowPlan(requests=rng.randrange(1, 6), rest_seconds=rng.uniform(0.2, 3.0))
+        plan = FlowPlan(requests=rng.randrange(1, 6), pause_seconds=rng.uniform(0.2, 3.0))
         harness.open_flow(plan)
         if next_fault <= harness.now < last_fault:
             faults.inject()
--- a/src/beamloom/standins/backend_model.py
+++ b/src/beamloom/standins/backend_model.py
@@ -38,7 +38,7 @@
     ConnectionState,
     TcpConnection,
     TcpOptions,
-    reset_for,
+    build_reset,
 )
 from beamloom.standins.timers import TimerHeap
 
@@ -215,12 +215,12 @@
             return None
         if not packet.has(SYN) or packet.has(ACK):
             self.truth.unknown_segments += 1
-            self._packets.append(build_packet(reset_for(packet)))
+            self._packets.append(build_packet(build_reset(packet)))
             return None
         if len(self._peers) >= self.options.connection_limit:
             self.truth.refused_connections += 1
             text = f"retry-after={self.options.retry_after:g}"
-            self._packets.append(build_packet(reset_for(packet, text)))
+            self._packets.append(build_packet(build_reset(packet, text)))
             return None
         connection = TcpConnection(
             self._local, packet.source, self._rng.getrandbits(32), self.options.tcp
@@ -247,7 +247,7 @@
         connection = peer.connection
         if connection is None:
             return
-        if connection.remote_finished and not peer.unanswered:
+        if connection.remote_has_closed and not peer.unanswered:
             connection.close(now)
         self._packets += connection.take_packets()
         if connection.ended:
--- a/src/beamloom/standins/client_host.py
+++ b/src/beamloom/standins/client_host.py
@@ -15,7 +15,7 @@
     build_packet,
     parse_packet,
 )
-from beamloom.standins.tcp_connection import reset_for
+from beamloom.standins.tcp_connection import build_reset
 from beamloom.standins.timers import TimerHeap
 
 FlowKey = tuple[SocketAddress, SocketAddress, TransportProtocol]
@@ -113,7 +113,7 @@
         self.unmatched_packets += 1
         if isinstance(packet, IcmpError) or packet.protocol is TransportProtocol.UDP:
             return []
-        return [] if packet.has(RST) else [build_packet(reset_for(packet))]
+        return [] if packet.has(RST) else [build_packet(build_reset(packet))]
 
 
 def _flow_key(packet: Packet | IcmpError) -> FlowKey:
--- a/src/beamloom/standins/client_model.py
+++ b/src/beamloom/standins/client_model.py
@@ -213,7 +213,7 @@
             self._handle_reset("RST", now)
         elif state is ConnectionState.TIMED_OUT:
             self._end_timed_out("no acknowledgement", now)
-        elif self._connection.remote_finished:
+        elif self._connection.remote_has_closed:
             self._end_reset("closed by the backend before the end", now)
 
     def _read_answers(self, now: float) -> None:
--- a/src/beamloom/standins/flow_packets.py
+++ b/src/beamloom/standins/flow_packets.py
@@ -46,7 +46,7 @@
     checksum: int = 0
 
     @property
-    def is_intact(self) -> bool:
+    def has_valid_checksum(self) -> bool:
         """Whether `checksum` matches the packet."""
         return self.checksum == self.expected_checksum()
 
--- a/src/beamloom/standins/tcp_connection.py
+++ b/src/beamloom/standins/tcp_connection.py
@@ -75,7 +75,7 @@
         self.remote = remote
         self.state = ConnectionState.SYN_SENT
         self.payload_sent = False
-        self.remote_finished = False
+        self.remote_has_closed = False
         self.reset_reason = ""
         self.ignored_resets = 0
         self._options = options
@@ -189,7 +189,7 @@
         if self.state is ConnectionState.FINISHED and packet.has(FIN):
             self._emit(_Segment(self._queue_end, ACK, b""))
         elif not packet.has(RST):
-            self._packets.append(build_packet(reset_for(packet)))
+            self._packets.append(build_packet(build_reset(packet)))
 
     def _receive_reset(self, packet: Packet) -> None:
         if self.state is ConnectionState.SYN_SENT:
@@ -206,7 +206,7 @@
 
     def _receive_syn_ack(self, packet: Packet, now: float) -> None:
         if packet.has(ACK) and self._acknowledged_offset(packet) != 1:
-            self._packets.append(build_packet(reset_for(packet)))
+            self._packets.append(build_packet(build_reset(packet)))
         elif packet.has(SYN) and packet.has(ACK):
             self._remote_initial_sequence = packet.sequence
             self._receive_next = 1
@@ -246,7 +246,7 @@
 
     def _reject_acknowledgement(self, packet: Packet) -> None:
         if self.state is ConnectionState.SYN_RECEIVED:
-            self._packets.append(build_packet(reset_for(packet)))
+            self._packets.append(build_packet(build_reset(packet)))
         else:
             self._emit(_Segment(self._send_next(), ACK, b""))
 
@@ -309,10 +309,15 @@
         while (ready := self._out_of_order.pop(self._receive_next, None)) is not None:
             self._received += ready.payload
             self._receive_next += ready.sequence_length
-            self.remote_finished = self.remote_finished or ready.has(FIN)
+            self.remote_has_closed = self.remote_has_closed or ready.has(FIN)
 
     def _finish_if_done(self) -> None:
-        if self._closing and self.remote_finished and not self._in_flight and not self._send_queue:
+        if (
+            self._closing
+            and self.remote_has_closed
+            and not self._in_flight
+            and not self._send_queue
+        ):
             self._end(ConnectionState.FINISHED)
 
     def _enqueue(self, flags: int, payload: bytes) -> None:
@@ -378,7 +383,7 @@
     return expected + distance - HALF_SEQUENCE_SPACE
 
 
-def reset_for(packet: Packet, text: str = "") -> Packet:
+def build_reset(packet: Packet, text: str = "") -> Packet:
     """Return the RST for a segment that belongs to no connection (RFC 9293 section 3.10.7.1).
 
     `text` is the reason, sent as the payload of the RST (section 3.5.3).
--- a/src/beamloom/standins/token_client.py
+++ b/src/beamloom/standins/token_client.py
@@ -35,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowPlan:
-    """The requests of a flow, each with a deadline, and the pause `rest_seconds` between them."""
+    """The requests of a flow, each with a deadline, and the pause `pause_seconds` between them."""
 
     requests: int = 3
-    rest_seconds: float = 1.0
+    pause_seconds: float = 1.0
     answer_size: int = 2000
     deadline_seconds: float = 4.0
 
@@ -90,7 +90,7 @@
             return []
         if packet.flags & FLAG_RST:
             return self._handle_reset(packet)
-        if not packet.is_intact or packet.source != self.service:
+        if not packet.has_valid_checksum or packet.source != self.service:
             self.mixed.append("a packet with a wrong checksum or source")
             return []
         self._token = packet.echo
@@ -174,7 +174,7 @@
             self.state = FlowState.DONE
             return
         self.state = FlowState.PAUSED
-        self._paused_until = now + self._plan.rest_seconds
+        self._paused_until = now + self._plan.pause_seconds
 
     def _handle_reset(self, packet: FlowPacket) -> list[FlowPacket]:
         is_opening = self.state is FlowState.OPENING
--- a/src/beamloom/standins/token_endpoint.py
+++ b/src/beamloom/standins/token_endpoint.py
@@ -79,7 +79,7 @@
     def _fault(self, identity: int, packet: FlowPacket) -> str | None:
         if identity not in (0, self.identity):
             return "other_incarnation"
-        return None if packet.is_intact else "altered"
+        return None if packet.has_valid_checksum else "altered"
 
     def _continue(
         self, key: FlowKey, flow: _Flow, packet: FlowPacket, now: float
--- a/src/beamloom/standins/token_store.py
+++ b/src/beamloom/standins/token_store.py
@@ -60,13 +60,13 @@
     """All objects; each change increments `revision`.
 
     Each restore from a copy increments `era`; only a restore loses acknowledged changes. Stale
-    reads are `stale_behind` revisions old, within the limits of the history.
+    reads are `stale_read_lag` revisions old, within the limits of the history.
     """
 
     def __init__(self, page_size: int = DEFAULT_PAGE_SIZE) -> None:
         self.revision = 0
         self.era = 1
-        self.stale_behind = 0
+        self.stale_read_lag = 0
         self._page_size = page_size
         self._objects: dict[str, dict[str, StoredObject]] = defaultdict(dict)
         self._history: dict[str, list[StoredChange]] = defaultdict(list)
@@ -84,8 +84,8 @@
         return self._page_of(self._objects[kind], after)
 
     def stale_page(self, kind: str, after: str) -> tuple[list[StoredObject], bool, int]:
-        """Return a page as of `stale_behind` revisions ago, and the revision of the page."""
-        revision = max(self._history_start, self.revision - self.stale_behind)
+        """Return a page as of `stale_read_lag` revisions ago, and the revision of the page."""
+        revision = max(self._history_start, self.revision - self.stale_read_lag)
         return *self._page_of(self._objects_at(kind, revision), after), revision
 
     def _objects_at(self, kind: str, revision: int) -> dict[str, StoredObject]:
@@ -133,7 +133,7 @@
         self._record(kind, StoredChange(self.revision, False, stored, before))
         return stored
 
-    def put_if_other(self, kind: str, name: str, content: object) -> bool:
+    def put_if_different(self, kind: str, name: str, content: object) -> bool:
         """Create or replace an object unless its content is equal; returns whether it wrote."""
         known = self._objects[kind].get(name)
         if known is not None and known.content == content:
@@ -141,7 +141,7 @@
         self.put(kind, name, content)
         return True
 
-    def remove_if_there(self, kind: str, name: str) -> bool:
+    def remove_if_present(self, kind: str, name: str) -> bool:
         """Remove an object if it exists; returns whether it did."""
         if name not in self._objects[kind]:
             return False
--- a/tests/functional/test_node_process.py
+++ b/tests/functional/test_node_process.py
@@ -248,8 +248,8 @@
         node = await self.start_node("one")
         node.machines._client = mock.Mock()
         node.machines._client.register_machine = mock.AsyncMock(side_effect=PlatformError("x"))
-        await node.machines.take_turn()
-        await node.machines.take_turn()
+        await node.machines.update()
+        await node.machines.update()
         self.assertEqual(node.machines.counters["report_failed"], 2)
         self.assertEqual(self.log_output.getvalue().count('"unreachable"'), 1)
 
--- a/tests/functional/test_packet_socket.py
+++ b/tests/functional/test_packet_socket.py
@@ -7,7 +7,7 @@
 
 from beamloom.platform.packet_layout import FLAG_ACK, FLAG_SYN, HEAD
 from beamloom.routing.tokens.packets import ClientPacket, DropPacket, DropReason, PacketKind
-from beamloom.runtime.bound_socket import bind_datagrams
+from beamloom.runtime.bound_socket import bind_datagram_socket
 from beamloom.runtime.packet_socket import PacketSocket
 from beamloom.settings.token_node import Endpoint
 
@@ -31,7 +31,7 @@
 
 class PacketSocketTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        datagram_socket = bind_datagrams(Endpoint("127.0.0.1", 0))
+        datagram_socket = bind_datagram_socket(Endpoint("127.0.0.1", 0))
         self.address = datagram_socket.getsockname()
         self.router = FakeRouter()
         self.faults: list[Exception] = []
@@ -51,7 +51,7 @@
 
     def before_batch(self, _now: float) -> None:
         if self.stalled:
-            self.packets.discard_waiting_openings()
+            self.packets.drop_queued_openings()
             self.stalled = False
 
     async def send(self, *flags: int) -> None:
@@ -70,7 +70,7 @@
     ) -> None:
         """Guards against dropping the first opening that arrives after the start."""
         await self.send(FLAG_SYN, FLAG_ACK)
-        self.packets.start_without_waiting_openings()
+        self.packets.start_dropping_queued_openings()
         self.assertEqual(self.router.handled, [PacketKind.DATA])
         self.assertEqual(self.router.counters["dropped_late_opening"], 1)
         await self.send(FLAG_SYN)
@@ -82,7 +82,7 @@
         self.assertEqual(set(self.reported_moments), {"packet_read"})
 
     async def test_a_start_with_an_empty_queue_drops_nothing_later(self) -> None:
-        self.packets.start_without_waiting_openings()
+        self.packets.start_dropping_queued_openings()
         await self.send(FLAG_SYN)
         self.assertEqual(self.router.handled, [PacketKind.OPEN])
 
--- a/tests/functional/test_restored_store.py
+++ b/tests/functional/test_restored_store.py
@@ -14,7 +14,7 @@
 from beamloom.standins.token_store import NoSuchObjectError
 from tests.functional.token_node_case import TokenNodeCase
 
-LONG = FlowPlan(requests=6, rest_seconds=0.5)
+LONG = FlowPlan(requests=6, pause_seconds=0.5)
 OTHER_SECRET = {"key": "0f" * 16}
 LATE_PEER_SECONDS = 1.0
 """Longer than a node of a new fleet waits for peers before it creates a secret."""
--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -137,7 +137,7 @@
         limits = CallLimits(4.0, 0.3)
         protocol = self.connection._protocol
         assert protocol is not None
-        answer = protocol.expect_answer(limits)
+        answer = protocol.begin_response(limits)
         protocol.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
         for _ in range(5):
             await asyncio.sleep(0.2)
--- a/tests/functional/test_token_node.py
+++ b/tests/functional/test_token_node.py
@@ -58,7 +58,7 @@
         self.assertTrue(all(len(endpoint.model.openings) > 2 for endpoint in endpoints))
         self.assertEqual([dict(endpoint.model.faults) for endpoint in endpoints], [{}, {}])
 
-        last = self.new_flow(3000, FlowPlan(requests=3, rest_seconds=0.3))
+        last = self.new_flow(3000, FlowPlan(requests=3, pause_seconds=0.3))
         self.send(1, last.advance(time.monotonic()))
         began = time.monotonic()
         self.stop(node)
@@ -108,7 +108,7 @@
         self.configure(1, "tracker")
         self.configure(2, "tracker")
         self.add_endpoint(2)
-        self.store.store.stale_behind = 2
+        self.store.store.stale_read_lag = 2
         self.start_node(1)
         await self.wait_until_ready(1)
         await self.wait_for_line(1, "Ready")
@@ -139,7 +139,7 @@
         await self.wait_until_ready(1)
         await self.wait_until_ready(2)
         await asyncio.sleep(READER_ELECTION_SECONDS)
-        flow = self.new_flow(2000, FlowPlan(requests=4, rest_seconds=0.4))
+        flow = self.new_flow(2000, FlowPlan(requests=4, pause_seconds=0.4))
         began = time.monotonic()
         while not flow.answers:
             self.assertLess(time.monotonic() - began, 3.0)
--- a/tests/functional/token_node_case.py
+++ b/tests/functional/token_node_case.py
@@ -249,7 +249,7 @@
         address = bytes(int(part) for part in self.client_host.split("."))
         source = FlowEnd(address, port)
         return TokenClientFlow(
-            source, SERVICE, plan or FlowPlan(rest_seconds=0.1), time.monotonic()
+            source, SERVICE, plan or FlowPlan(pause_seconds=0.1), time.monotonic()
         )
 
     def send(self, number: int, packets: list[FlowPacket]) -> None:
--- a/tests/unit/simulation/test_store_restored.py
+++ b/tests/unit/simulation/test_store_restored.py
@@ -46,7 +46,7 @@
         """Open flows at both addresses every 0.1 s."""
         for _ in range(int(seconds / 0.1)):
             for number in (1, 2):
-                self.fleet.clients.open_flow(number, FlowPlan(requests=1, rest_seconds=0.0))
+                self.fleet.clients.open_flow(number, FlowPlan(requests=1, pause_seconds=0.0))
             self.fleet.run(0.1)
 
     def test_drain_after_a_restore_is_applied(self) -> None:
--- a/tests/unit/simulation/test_token_fleet.py
+++ b/tests/unit/simulation/test_token_fleet.py
@@ -53,7 +53,7 @@
         fleet = TokenFleet(seed=3)
         fleet.run(6.0)
         flows = [
-            fleet.clients.open_flow(1, FlowPlan(requests=4, rest_seconds=1.0)) for _ in range(40)
+            fleet.clients.open_flow(1, FlowPlan(requests=4, pause_seconds=1.0)) for _ in range(40)
         ]
         fleet.run(1.0)
         for name in list(fleet.nodes):
--- a/tests/unit/tokens/test_liveness.py
+++ b/tests/unit/tokens/test_liveness.py
@@ -265,7 +265,7 @@
     def run_outage(self, seed: int, *, dark: bool) -> TokenFleet:
         fleet = TokenFleet(seed, nodes=12, endpoints=24)
         fleet.run(6.0)
-        plan = FlowPlan(requests=40, rest_seconds=0.3, deadline_seconds=3.0)
+        plan = FlowPlan(requests=40, pause_seconds=0.3, deadline_seconds=3.0)
         for _ in range(120):
             fleet.clients.open_flow(1, plan)
             fleet.run(0.02)
@@ -298,7 +298,7 @@
         fleet = TokenFleet(9, nodes=7)
         fleet.run(6.0)
         for _ in range(60):
-            fleet.clients.open_flow(1, FlowPlan(requests=10, rest_seconds=0.5))
+            fleet.clients.open_flow(1, FlowPlan(requests=10, pause_seconds=0.5))
             fleet.run(0.02)
         name = next(iter(fleet.nodes))
         fleet.cut_from_store(name, 6.0)
--- a/tests/unit/views/test_reader_role.py
+++ b/tests/unit/views/test_reader_role.py
@@ -49,7 +49,7 @@
         return [name for name, role in self.roles.items() if role.reading]
 
 
-class ReaderDutyTest(unittest.TestCase):
+class ReaderRoleTest(unittest.TestCase):
     def test_times_keep_their_bounds(self) -> None:
         for bound, contact in ((3.0, 4.0), (2.5, 4.0), (2.0, 3.0), (10.0, 20.0), (1.5, 2.5)):
             with self.subTest(bound=bound, contact=contact):
--- a/tests/unit/views/test_secret_exchange.py
+++ b/tests/unit/views/test_secret_exchange.py
@@ -18,7 +18,7 @@
 MEMBER = "10.0.0.2"
 
 
-class SeekerTest(unittest.TestCase):
+class RequesterTest(unittest.TestCase):
     def setUp(self) -> None:
         self.requester = SecretRequester(NONCE, len(SECRET))
         self.requester.requests([MEMBER])
@@ -39,7 +39,7 @@
                 self.assertIsNone(self.requester.take(host, message))
 
 
-class KeeperTest(unittest.TestCase):
+class ResponderTest(unittest.TestCase):
     def setUp(self) -> None:
         self.responder = SecretResponder(SECRET)
         self.responder.note_member(MEMBER, 10.0)
--- a/tests/unit/views/test_store_call_schedule.py
+++ b/tests/unit/views/test_store_call_schedule.py
@@ -22,7 +22,7 @@
 from beamloom.replication.store_view import NamedRecord, ObjectChange, StoreView
 
 
-class ReadingTurnTest(unittest.TestCase):
+class StoreCallScheduleTest(unittest.TestCase):
     def setUp(self) -> None:
         rng = random.Random(1)
         self.view: StoreView[str] = StoreView()
