--- a/tools/dark_bound.py
+++ b/tools/dark_bound.py
@@ -1,20 +1,20 @@
-"""What callers can get at best while no machine of a deployment answers.
-
-Assumptions, each in favour of the system, so that the bound is never below what is possible:
-
-- Requests of each class arrive evenly over a window, in the shares that the whole day had.
-- A client sends the opening of an attempt, and the data of an open flow, at once and again after
-  0.2 and 0.6 s; an attempt that nobody answers ends after 1.4 s, and the next one begins at once.
-- What was forwarded before the power went is answered all the same: answers do not pass through the
-  machines.
-- The first packet that is sent once callers are reached again is taken and answered, with the
-  latency that is given for the class; none waits for anything else, however many return at once.
-- An answer within the objective has the full worth, one within the deadline the worth when late,
-  both counted from the first attempt.
-
-`soonest_reach_seconds` adds how machines return: each independently, evenly within the spread, and
-each then waits evenly up to a period of the routers' readiness probes. A zone's callers are reached
-again by its first machine that is in.
+"""Upper bound on the worth that requests can earn while no machine of a deployment answers.
+
+The assumptions favour the system, so that the bound is not below what is possible:
+
+- Requests of each class arrive evenly over a window, in the shares of the whole day.
+- A client sends the first packet of an attempt, and the data of an open flow, immediately and again
+  after 0.2 and 0.6 s. An unanswered attempt ends after 1.4 s, and the next begins immediately.
+- Requests forwarded before the outage are answered, since answers bypass the machines.
+- The first packet sent after the outage is answered with the latency of its class, without
+  queueing, however many clients return at once.
+- An answer within the objective earns the full worth, one within the deadline the late worth. Both
+  times count from the first attempt.
+
+`mean_reach_seconds` models the return of the machines. Each returns independently at a time
+uniform within the spread, then waits a time uniform within one period of the routers' readiness
+probes. Clients of a zone are served again from the time the first machine of the zone passes its
+probe.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 ATTEMPT_SECONDS = 1.4
 PROBE_SECONDS = 0.5
 STEP_SECONDS = 0.001
-"""Arrivals are summed in steps of this; the objective is in whole milliseconds as well."""
+"""Step of the sums over time, one millisecond, which is also the resolution of the objectives."""
 
 
 class RequestClass(NamedTuple):
-    """One kind of request; `latency_seconds` is what an answer takes at best, from its packet."""
+    """A class of requests; `latency_seconds` is the time from the answered packet to the answer."""
 
     name: str
     share: float
@@ -42,26 +42,26 @@
     latency_seconds: float = 0.0
 
 
-class Darkness(NamedTuple):
-    """From when no machine answers, and when callers are reached again, in seconds of the day."""
+class Outage(NamedTuple):
+    """The period in which no machine answers, in seconds of the day."""
 
     begins_at: float
-    reached_at: float
+    ends_at: float
 
 
 class Window(NamedTuple):
-    """A span of arrivals in seconds of the day, and the share of the worth that was earned."""
+    """An interval of arrivals in seconds of the day, and the share of its worth that was earned."""
 
     begins_at: float
     ends_at: float
     earned: float
 
 
-def earned_by(arrival: float, request: RequestClass, darkness: Darkness) -> float:
-    """Return the worth of a request that arrives at a moment."""
+def earned_worth(arrival: float, request: RequestClass, outage: Outage) -> float:
+    """Return the worth that a request earns if it arrives at this time."""
     wait = 0.0
-    if darkness.begins_at <= arrival < darkness.reached_at:
-        sent = _first_send(arrival, request.attempts, darkness.reached_at)
+    if outage.begins_at <= arrival < outage.ends_at:
+        sent = _first_send(arrival, request.attempts, outage.ends_at)
         if sent is None:
             return 0.0
         wait = sent
@@ -71,57 +71,57 @@
     return request.late_worth if latency <= request.deadline_seconds else 0.0
 
 
-def _first_send(arrival: float, attempts: int, reached_at: float) -> float | None:
-    """Return how long after its arrival a request's first packet that is taken is sent."""
+def _first_send(arrival: float, attempts: int, ends_at: float) -> float | None:
+    """Return the seconds from arrival to the first packet sent after the outage, or None."""
     for attempt in range(attempts):
         for offset in SEND_SECONDS:
             sent = attempt * ATTEMPT_SECONDS + offset
-            if arrival + sent >= reached_at:
+            if arrival + sent >= ends_at:
                 return sent
     return None
 
 
-def window_bound(window: Window, classes: Iterable[RequestClass], darkness: Darkness) -> float:
-    """Return the largest share of a window's worth that can be earned, but for the dark time none.
+def window_bound(window: Window, classes: Iterable[RequestClass], outage: Outage) -> float:
+    """Return the largest share of a window's worth that can be earned if only the outage costs any.
 
-    A window that the dark time does not touch has 1.
+    It is 1 for a window that the outage does not affect.
     """
-    known = list(classes)
+    class_list = list(classes)
     steps = round((window.ends_at - window.begins_at) / STEP_SECONDS)
-    owed = sum(request.share * request.worth for request in known) * steps
+    total_worth = sum(request.share * request.worth for request in class_list) * steps
     arrivals = [window.begins_at + (step + 0.5) * STEP_SECONDS for step in range(steps)]
     earned = sum(
-        request.share * earned_by(arrival, request, darkness)
-        for request in known
+        request.share * earned_worth(arrival, request, outage)
+        for request in class_list
         for arrival in arrivals
     )
-    return earned / owed
+    return earned / total_worth
 
 
-def touched(window: Window, darkness: Darkness) -> bool:
-    """Whether requests of a window arrive while nobody is reached."""
-    return window.begins_at < darkness.reached_at and darkness.begins_at < window.ends_at
+def overlaps(window: Window, outage: Outage) -> bool:
+    """Whether requests of a window arrive during the outage."""
+    return window.begins_at < outage.ends_at and outage.begins_at < window.ends_at
 
 
-def worst_two(windows: Iterable[float]) -> float:
-    """Return the mean of the two lowest shares, which is what a day's worst windows count."""
+def mean_of_worst_two(windows: Iterable[float]) -> float:
+    """Return the mean of the two lowest shares, the bench's measure of worst windows."""
     lowest = sorted(windows)[:2]
     return sum(lowest) / len(lowest)
 
 
-def soonest_reach_seconds(machines: int, spread_seconds: float) -> float:
-    """Return the mean time from the earliest return to a zone's first machine that is in."""
+def mean_reach_seconds(machines: int, spread_seconds: float) -> float:
+    """Return the mean time from the earliest possible return to a zone's first ready machine."""
     longest = spread_seconds + PROBE_SECONDS
     steps = round(longest / STEP_SECONDS)
-    later = (
-        (1.0 - _share_in((step + 0.5) * STEP_SECONDS, spread_seconds)) ** machines
+    not_ready = (
+        (1.0 - _ready_probability((step + 0.5) * STEP_SECONDS, spread_seconds)) ** machines
         for step in range(steps)
     )
-    return sum(later) * STEP_SECONDS
+    return sum(not_ready) * STEP_SECONDS
 
 
-def _share_in(elapsed: float, spread_seconds: float) -> float:
-    """Return the share of machines that are in so long after the earliest return."""
+def _ready_probability(elapsed: float, spread_seconds: float) -> float:
+    """Return the probability that a machine is ready `elapsed` after the earliest return."""
     if spread_seconds <= 0.0:
         return min(1.0, elapsed / PROBE_SECONDS)
 
@@ -137,20 +137,20 @@
     return area / (spread_seconds * PROBE_SECONDS)
 
 
-def implied_reach(
+def implied_outage_end(
     seen: float, bound_at: Callable[[float], float], earliest: float, latest: float
 ) -> float | None:
-    """Return when callers were reached again if nothing else cost anything; None beyond `latest`.
+    """Return the end of the outage that explains the earned share `seen`; None if after `latest`.
 
-    `bound_at` gives the share that can be earned where callers are reached at a moment; it falls
-    with it.
+    `bound_at` returns the share that can be earned for an end of the outage; it must not increase
+    with that time.
     """
     if bound_at(latest) > seen:
         return None
     while latest - earliest > STEP_SECONDS:
-        middle = (earliest + latest) / 2
-        if bound_at(middle) > seen:
-            earliest = middle
+        midpoint = (earliest + latest) / 2
+        if bound_at(midpoint) > seen:
+            earliest = midpoint
         else:
-            latest = middle
+            latest = midpoint
     return latest
--- a/tools/day_report.py
+++ b/tools/day_report.py
@@ -1,4 +1,4 @@
-"""What a day's report and site file tell of its closing fault, for `day_bound.py`."""
+"""Reads the closing fault of a day from its report and site file, for `day_bound.py`."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 MILLISECONDS = 1000
 POWER_OFF = "power_off_all"
-"""Only here no machine answers for `down_s`: where all processes were killed, more was earned than
-that would leave possible.
+"""The only closing fault for which the bound holds: no machine answers for `down_s`. Days that kill
+all processes earned more than this would allow.
 """
 
 
 class UnboundedDayError(Exception):
-    """The day's closing fault is none that a bound is known for."""
+    """No bound is known for the day's closing fault."""
 
 
 class ClosingDay(NamedTuple):
-    """A played day that ends with no machine answering; times are in seconds of the day.
+    """A played day that closes with all machines powered off; times are in seconds of the day.
 
-    `kind` is the closing fault with its variant. A variant may take more than the machines (the
-    bound is then only higher than what is possible). `classes` have the latency that the median
-    request of the class had over the day.
+    `kind` is the closing fault with its variant. A variant may cause more than the outage of the
+    machines, which leaves the bound valid but less tight. The latency of each of the `classes` is
+    its median over the day.
     """
 
     kind: str
@@ -40,26 +40,29 @@
 
 
 def read_day(site: Path, day: str, report: Path, objectives: Mapping[str, float]) -> ClosingDay:
-    """Read a day of a site and the report of its run; raises UnboundedDayError.
+    """Read a day of a site and the report of its run.
 
-    `objectives` (milliseconds by class) are used instead of the site file's.
+    `objectives` (milliseconds by class) override those of the site file. Raises UnboundedDayError
+    for a day without a bound.
     """
     plan = tomllib.loads(site.read_text(encoding="utf-8"))
-    written = next((known for known in plan["day"] if known["name"] == day), None)
-    if written is None:
+    planned = next((known for known in plan["day"] if known["name"] == day), None)
+    if planned is None:
         raise UnboundedDayError(f"{site.name} has no day {day!r}; name one of its [[day]] tables")
-    seen = json.loads(report.read_text(encoding="utf-8"))
-    closing = written.get("closing", {})
-    event = next((event for event in seen["events"] if event["kind"].startswith("closing")), None)
+    measured = json.loads(report.read_text(encoding="utf-8"))
+    closing = planned.get("closing", {})
+    event = next(
+        (event for event in measured["events"] if event["kind"].startswith("closing")), None
+    )
     if closing.get("kind") != POWER_OFF or event is None:
         raise UnboundedDayError(f"{day} does not close with {POWER_OFF}; choose a day that does")
     return ClosingDay(
         kind=" ".join(filter(None, (closing["kind"], closing.get("how")))),
         began_at=float(event["at_s"]),
         down_seconds=float(closing["down_s"]),
-        machines_of_a_zone=max(1, seen["machines"] // len(seen["zones"])),
-        windows=_windows(seen["windows"]),
-        classes=_classes(written.get("classes", plan["classes"]), seen["classes"], objectives),
+        machines_of_a_zone=max(1, measured["machines"] // len(measured["zones"])),
+        windows=_windows(measured["windows"]),
+        classes=_classes(planned.get("classes", plan["classes"]), measured["classes"], objectives),
     )
 
 
@@ -73,10 +76,10 @@
 
 
 def _classes(
-    written: list[dict[str, Any]], seen: list[dict[str, Any]], objectives: Mapping[str, float]
+    planned: list[dict[str, Any]], measured: list[dict[str, Any]], objectives: Mapping[str, float]
 ) -> tuple[RequestClass, ...]:
-    rows = {row["name"]: row for row in seen}
-    asked = sum(row["n"] for row in seen)
+    rows = {row["name"]: row for row in measured}
+    asked = sum(row["n"] for row in measured)
     return tuple(
         RequestClass(
             name=known["name"],
@@ -88,6 +91,6 @@
             attempts=1 + int(known["retries"]),
             latency_seconds=rows[known["name"]]["p50_ms"] / MILLISECONDS,
         )
-        for known in written
+        for known in planned
         if known["name"] in rows
     )
