--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,9 +1,9 @@
-"""Switch off each mechanism of the token path, one by one, and print what that does to days.
+"""Measure the effect of disabling each mechanism of the token path on days of the users' bench.
 
-A checkout of its own is made under `target/ablation`, from the commit that is checked out here;
-nothing is measured of changes that are not committed. The bench writes its journal entries there;
-they are copied here. With `--no-cpu` (the default) a day mostly repeats, so that a difference of
-one seed means something; `--cpu` charges processor time as the users do.
+The runs use a separate worktree of the current commit under `target/ablation`, so uncommitted
+changes are not measured. The journal entries that the bench writes there are copied to this tree.
+By default the bench does not charge processor time, which makes runs with the same seed mostly
+repeatable; `--cpu` charges it, as the users' own runs do.
 
     python3 tools/ablation.py BENCH SITE... --seeds 2 --why "..."
 """
@@ -28,22 +28,22 @@
 
 from beamloom.settings.mechanisms import MECHANISMS_VARIABLE, Mechanisms  # noqa: E402
 
-NOTHING = "(nothing)"
+NONE_DISABLED = "(nothing)"
 CHECKOUT = ROOT / "target" / "ablation"
 PARALLEL_RUNS = 4
 STANDARD_SEED = 0
 
 
 class Case(NamedTuple):
-    """One day of one site under one seed; STANDARD_SEED is the day's own."""
+    """One day of one site with one seed; STANDARD_SEED selects the day's own seed."""
 
     site: Path
     day: str
     seed: int
 
 
-class Mean(NamedTuple):
-    """The means over the days of one site, and what broke."""
+class SiteMeans(NamedTuple):
+    """Means over the days of one site, and the broken rules of these days."""
 
     worth: float
     late: float
@@ -54,22 +54,22 @@
 
 
 def main() -> int:
-    """Play and print the table; exit status 1 where a rule broke with every mechanism on."""
+    """Print the table; return 1 if a day failed with every mechanism enabled."""
     arguments = _parse_arguments()
     sites = [Path(site).resolve() for site in arguments.sites]
     cases = list(_cases(sites, arguments))
     _make_checkout()
     broken = False
-    baseline: dict[Path, Mean] = {}
+    baseline: dict[Path, SiteMeans] = {}
     print("| site | off | worth | change | late | failed | calls | MB between zones | broken |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |", flush=True)
-    for name in _wanted(arguments.only):
-        _switch_off(name)
+    for name in _mechanisms_to_disable(arguments.only):
+        _disable_mechanism(name)
         results = _play_all(cases, name, arguments)
         for site in sites:
             mean = _mean(results, site)
             baseline.setdefault(site, mean)
-            broken |= name == NOTHING and bool(mean.broken)
+            broken |= name == NONE_DISABLED and bool(mean.broken)
             print(_row(site, name, mean, baseline[site]), flush=True)
     _copy_journal()
     return 1 if broken else 0
@@ -80,28 +80,35 @@
     parser.add_argument("bench", type=lambda text: str(Path(text).resolve()))
     parser.add_argument("sites", nargs="+")
     parser.add_argument("--why", required=True)
-    parser.add_argument("--seeds", type=int, default=1, help="seeds a day: its own, then 2, 3, ...")
-    parser.add_argument("--days", default="", help="names with commas between; else all")
-    parser.add_argument("--day-file", action="append", default=[], help="a day of its own instead")
-    parser.add_argument("--only", default="", help="mechanisms with commas between; else all")
+    parser.add_argument(
+        "--seeds", type=int, default=1, help="seeds per day: its own, then 2, 3, ..."
+    )
+    parser.add_argument("--days", default="", help="comma-separated names; all by default")
+    parser.add_argument(
+        "--day-file",
+        action="append",
+        default=[],
+        help="file of a day to play instead of the site's days; may be repeated",
+    )
+    parser.add_argument("--only", default="", help="comma-separated mechanisms; all by default")
     parser.add_argument("--cpu", action="store_true", help="charge processor time")
     return parser.parse_args()
 
 
 def _cases(sites: list[Path], arguments: argparse.Namespace) -> Iterator[Case]:
-    wanted = set(filter(None, arguments.days.split(",")))
+    selected_days = set(filter(None, arguments.days.split(",")))
     files = [str(Path(file).resolve()) for file in arguments.day_file]
     for site in sites:
-        standard = [day["name"] for day in tomllib.loads(site.read_text())["day"]]
-        names = files or [name for name in standard if not wanted or name in wanted]
+        site_days = [day["name"] for day in tomllib.loads(site.read_text())["day"]]
+        names = files or [name for name in site_days if not selected_days or name in selected_days]
         for name in names:
             for seed in (STANDARD_SEED, *range(2, arguments.seeds + 1)):
                 yield Case(site, name, seed)
 
 
-def _wanted(only: str) -> tuple[str, ...]:
+def _mechanisms_to_disable(only: str) -> tuple[str, ...]:
     names = tuple(filter(None, only.split(","))) or Mechanisms._fields
-    return (NOTHING, *names)
+    return (NONE_DISABLED, *names)
 
 
 def _make_checkout() -> None:
@@ -114,10 +121,10 @@
     subprocess.run(["git", *arguments], cwd=ROOT, check=True)
 
 
-def _switch_off(name: str) -> None:
-    """Let the checkout's deploy file name the mechanism; the next run builds it anew."""
+def _disable_mechanism(name: str) -> None:
+    """Disable the mechanism in the checkout's deploy file; the next build includes the change."""
     text = (ROOT / "deploy/system.toml").read_text()
-    if name != NOTHING:
+    if name != NONE_DISABLED:
         text = text.replace("env = { ", f'env = {{ {MECHANISMS_VARIABLE} = "{name}", ')
     (CHECKOUT / "deploy/system.toml").write_text(text)
 
@@ -137,16 +144,16 @@
         return list(pool.map(play_case, cases))
 
 
-def _mean(results: list[tuple[Case, DayResult]], site: Path) -> Mean:
+def _mean(results: list[tuple[Case, DayResult]], site: Path) -> SiteMeans:
     days = [(case, result) for case, result in results if case.site == site]
     played = [result for _, result in days if not result.fault] or [days[0][1]]
     faults = [
         f"{case.day}/{case.seed}: {result.broken or result.fault}"
         for case, result in days
-        if not result.kept
+        if not result.passed
     ]
     count = len(played)
-    return Mean(
+    return SiteMeans(
         worth=sum(result.worth for result in played) / count,
         late=sum(result.late for result in played) / count,
         failed=sum(result.failed for result in played) / count,
@@ -156,7 +163,7 @@
     )
 
 
-def _row(site: Path, name: str, mean: Mean, baseline: Mean) -> str:
+def _row(site: Path, name: str, mean: SiteMeans, baseline: SiteMeans) -> str:
     cells = (
         site.stem,
         name,
--- a/tools/bench_runs.py
+++ b/tools/bench_runs.py
@@ -1,4 +1,4 @@
-"""One day of the users' bench: played, and its printed figures read. For the tools beside it."""
+"""Runs one day of the users' bench and parses the figures that it prints."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-LONGEST_RUN_SECONDS = 600
+RUN_TIMEOUT_SECONDS = 600
 ROW = re.compile(r"^\S+ +\d+/\d+ +(?P<score>[\d.]+) +(?P<worth>[\d.]+) ", re.MULTILINE)
 BROKEN = re.compile(r"BROKEN: (.*?)(?: \(else|$)", re.MULTILINE)
 CLASS_ROW = re.compile(r"^\S+ +(\d+) +\d+ +(\d+) +(\d+) +(\d+) +\d+ +[\d.]+ +[\d.]+ +[\d.]+$")
@@ -16,10 +16,10 @@
 
 
 class DayResult(NamedTuple):
-    """What the bench printed of one day; `broken` names rules, `fault` says why it was not played.
+    """The figures that the bench printed for one day.
 
-    `late` and `failed` count requests, `calls` those to the store, `zone_gigabytes` what went
-    between zones.
+    `late` and `failed` count requests, `calls` counts cloud calls, and `zone_gigabytes` is the
+    traffic between zones. `broken` names the broken rules; `fault` says why a day was not played.
     """
 
     worth: float
@@ -32,8 +32,8 @@
     output: str
 
     @property
-    def kept(self) -> bool:
-        """Whether the day was played and no rule broken."""
+    def passed(self) -> bool:
+        """Whether the day was played and no rule was broken."""
         return not self.broken and not self.fault
 
 
@@ -48,7 +48,7 @@
             cwd=root,
             capture_output=True,
             text=True,
-            timeout=LONGEST_RUN_SECONDS,
+            timeout=RUN_TIMEOUT_SECONDS,
             check=False,
         )
     except subprocess.TimeoutExpired:
@@ -57,7 +57,7 @@
 
 
 def read_output(output: str, errors: str = "") -> DayResult:
-    """Return the figures that the bench printed of a day."""
+    """Parse the output of a run of one day."""
     row = ROW.search(output)
     if row is None:
         return _not_played((errors or output).strip()[:200] or "no output", output)
@@ -80,7 +80,7 @@
 
 
 def _count_requests(output: str) -> tuple[int, int]:
-    """Return late and failed (or refused) requests, from the table of kinds of request."""
+    """Return the late and the failed or refused requests, summed over the table of classes."""
     table = output.partition("\nclass ")[2].partition("\n\n")[0]
     rows = [match for match in map(CLASS_ROW.match, table.splitlines()) if match]
     late = sum(int(row[2]) for row in rows)
--- a/tools/every_kind.py
+++ b/tools/every_kind.py
@@ -1,9 +1,9 @@
-"""Play each kind of trouble on a site of the users' bench, twice in a row, and print a table.
+"""Play a day with each kind of fault or planned change on a site of the users' bench.
 
-Days are written to a folder outside the repository, from the site's own days; nothing of the
-users' is copied into the repository. `--variant` also derives other deployments from the site:
-another hash, one zone, fewer slots (`site_variants.py`). The bench writes its journal entries as
-always.
+Each day has one event twice and is written to a temporary folder, so that no file of the users
+enters the repository. `--variant` derives another deployment from the site, such as one with
+another hash, one zone or fewer slots (`site_variants.py`). The bench writes its journal entries as
+usual. A table with the worth and verdict of each day is printed.
 
     .venv/bin/python tools/every_kind.py BENCH SITE.toml --why "..."
 """
@@ -24,18 +24,26 @@
 from bench_runs import DayResult, play
 from site_variants import VARIANTS, derive_site
 
-FIRST_AT = 4.0
-SECOND_AT = 14.0
+FIRST_AT_SECONDS = 4.0
+SECOND_AT_SECONDS = 14.0
 PARALLEL_RUNS = 4
-SMALL_TWIN = re.compile(r"^small = .*$", re.MULTILINE)
-"""What a site's file says of the small twin of a day; it is the same for all its days."""
-KEPT_REPORTS = Path("target/every-kind")
-PLANNED = {"release", "scale_out", "scale_in", "roll_term", "add_nodes", "config_change", "hup"}
-PLANNED |= {"config_storm", "big_config", "evacuate"}
-PLACES_ONLY = {"evacuate"}
-"""Kinds that are open only where a site has the contract `places`."""
-
-TROUBLES = """
+SMALL_VARIANT = re.compile(r"^small = .*$", re.MULTILINE)
+"""The line of a site file that describes the small variant of a day, equal for all its days."""
+FAILED_DAYS = Path("target/every-kind")
+PLANNED_KINDS = {
+    "release",
+    "scale_out",
+    "scale_in",
+    "roll_term",
+    "add_nodes",
+    "config_change",
+    "hup",
+}
+PLANNED_KINDS |= {"config_storm", "big_config", "evacuate"}
+PLACES_KINDS = {"evacuate"}
+"""Kinds that need a site with the contract `places`."""
+
+EVENTS = """
 srv_crash share=0.3 for_s=5
 srv_crash share=0.3 for_s=5 how="dark"
 srv_crash share=0.3 how="gone"
@@ -145,30 +153,30 @@
 """.strip().splitlines()
 
 
-class Trouble(NamedTuple):
-    """One line of TROUBLES as a table of a day."""
+class DayEvent(NamedTuple):
+    """One line of EVENTS, a fault or a planned change."""
 
     text: str
 
     @property
     def kind(self) -> str:
-        """The trouble's kind as the bench names it."""
+        """The name of the kind in the bench."""
         return self.text.split()[0]
 
     @property
     def label(self) -> str:
-        """A name for the table and for files."""
+        """The name in the printed table and in file names."""
         return re.sub(r"[^a-z0-9.]+", "-", self.text).strip("-")
 
     def table(self, at: float) -> str:
-        """Return the entry of a day that strikes at a second of the traffic."""
+        """Return the TOML inline table of the event at this second of the day."""
         fields = re.findall(r'(\w+)=("[^"]*"|[\d.]+)', self.text)
         entries = "".join(f", {name} = {value}" for name, value in fields)
         return f'{{ at = {at}, kind = "{self.kind}"{entries} }}'
 
 
 class Outcome(NamedTuple):
-    """What the bench printed of one day."""
+    """A row of the printed table."""
 
     label: str
     worth: str
@@ -176,19 +184,19 @@
 
 
 def main() -> int:
-    """Play the days and print the table; exit status 1 where a rule broke."""
+    """Play the days and print the table; return 1 if a day failed."""
     arguments = _parse_arguments()
     site = Path(arguments.site)
     with tempfile.TemporaryDirectory(prefix="every-kind-") as folder:
         path = derive_site(site, Path(folder), arguments.variant)
         if arguments.standard:
             return _print_table(arguments, site, _play_standard_days(arguments, path))
-        wanted = [trouble for trouble in _open_troubles(site) if arguments.only in trouble.text]
+        selected = [event for event in _allowed_events(site) if arguments.only in event.text]
         if arguments.pairs:
-            chance = random.Random(arguments.seed)
-            days = list(_pairs(path, wanted, arguments.pairs, chance))
+            rng = random.Random(arguments.seed)
+            days = list(_random_pairs(path, selected, arguments.pairs, rng))
         else:
-            days = [(trouble.label, _twice(path, trouble)) for trouble in wanted]
+            days = [(event.label, _repeat_event(path, event)) for event in selected]
         with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
             jobs = [
                 pool.submit(_play, arguments, path, Path(folder), label, text)
@@ -198,11 +206,11 @@
     return _print_table(arguments, site, outcomes)
 
 
-def _open_troubles(site: Path) -> list[Trouble]:
-    """Return the troubles that may befall a site."""
+def _allowed_events(site: Path) -> list[DayEvent]:
+    """Return the events that the contracts of the site allow."""
     has_places = "places" in tomllib.loads(site.read_text())["contracts"]
-    troubles = [Trouble(line) for line in TROUBLES]
-    return [one for one in troubles if has_places or one.kind not in PLACES_ONLY]
+    events = [DayEvent(line) for line in EVENTS]
+    return [event for event in events if has_places or event.kind not in PLACES_KINDS]
 
 
 def _play_standard_days(arguments: argparse.Namespace, site: Path) -> list[Outcome]:
@@ -225,36 +233,38 @@
     parser.add_argument("site")
     parser.add_argument("--why", required=True)
     parser.add_argument("--variant", choices=sorted(VARIANTS), default="as-is")
-    parser.add_argument("--only", default="", help="troubles whose line contains this")
+    parser.add_argument("--only", default="", help="events whose line contains this")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
         "--standard", action="store_true", help="play the site's own days instead of kinds"
     )
     parser.add_argument(
-        "--small", action="store_true", help="play small twins of the days of a large site"
+        "--small", action="store_true", help="play the small variants of the days of a large site"
+    )
+    parser.add_argument(
+        "--pairs", type=int, default=0, help="play this many random pairs of events instead"
     )
-    parser.add_argument("--pairs", type=int, default=0, help="play so many pairs instead")
     return parser.parse_args()
 
 
-def _twice(site: Path, trouble: Trouble) -> str:
-    return _day(site, ((trouble, FIRST_AT), (trouble, SECOND_AT)))
+def _repeat_event(site: Path, event: DayEvent) -> str:
+    return _format_day(site, ((event, FIRST_AT_SECONDS), (event, SECOND_AT_SECONDS)))
 
 
-def _day(site: Path, struck: tuple[tuple[Trouble, float], ...]) -> str:
-    """Return a day in which the troubles strike at the given seconds."""
+def _format_day(site: Path, timed_events: tuple[tuple[DayEvent, float], ...]) -> str:
+    """Return the TOML text of a day with events at the given seconds."""
     plan, faults = [], []
-    for trouble, at in struck:
-        (plan if trouble.kind in PLANNED else faults).append(trouble.table(at))
+    for event, at in timed_events:
+        (plan if event.kind in PLANNED_KINDS else faults).append(event.table(at))
     plan.append('{ at = 24.0, kind = "config_change", how = "route" }')
     days = tomllib.loads(site.read_text())["day"]
-    quiet = next(day for day in days if day["slot"] == "quiet")
-    small = SMALL_TWIN.search(site.read_text())
+    quiet_day = next(day for day in days if day["slot"] == "quiet")
+    small = SMALL_VARIANT.search(site.read_text())
     return "\n".join(
         [
             'name = "own"',
             'slot = "trouble"',
-            f"seed = {quiet['seed']}",
+            f"seed = {quiet_day['seed']}",
             "one = 1.0",
             "zero = 0.5",
             "wall = 2.0",
@@ -267,16 +277,21 @@
     )
 
 
-def _pairs(
-    site: Path, troubles: list[Trouble], count: int, chance: random.Random
+def _random_pairs(
+    site: Path, events: list[DayEvent], count: int, rng: random.Random
 ) -> Iterator[tuple[str, str]]:
-    """Yield pairs drawn by chance that overlap: the second strikes within 3 s of the first."""
+    """Yield days with two random events, one within 3 s of the other, then in reverse order."""
     for _ in range(count):
-        first, second = chance.sample(troubles, 2)
-        later = round(FIRST_AT + chance.uniform(0.0, 3.0), 2)
-        again = round(SECOND_AT + chance.uniform(0.0, 3.0), 2)
-        struck = ((first, FIRST_AT), (second, later), (second, SECOND_AT), (first, again))
-        yield f"{first.label}--{second.label}", _day(site, struck)
+        first, second = rng.sample(events, 2)
+        second_at = round(FIRST_AT_SECONDS + rng.uniform(0.0, 3.0), 2)
+        fourth_at = round(SECOND_AT_SECONDS + rng.uniform(0.0, 3.0), 2)
+        timed_events = (
+            (first, FIRST_AT_SECONDS),
+            (second, second_at),
+            (second, SECOND_AT_SECONDS),
+            (first, fourth_at),
+        )
+        yield f"{first.label}--{second.label}", _format_day(site, timed_events)
 
 
 def _play(
@@ -287,26 +302,26 @@
     why = f"{arguments.why}: {label}"
     options = ["--small"] if arguments.small else []
     result = play(arguments.bench, site, str(day), why, "--seed", str(arguments.seed), *options)
-    return _judge(arguments, site, label, result, text)
+    return _make_outcome(arguments, site, label, result, text)
 
 
 def _play_standard(arguments: argparse.Namespace, site: Path, name: str) -> Outcome:
     why = f"{arguments.why}: {name} of {site.stem} ({arguments.variant})"
-    return _judge(arguments, site, name, play(arguments.bench, site, name, why), "")
+    return _make_outcome(arguments, site, name, play(arguments.bench, site, name, why), "")
 
 
-def _judge(
+def _make_outcome(
     arguments: argparse.Namespace, site: Path, label: str, result: DayResult, text: str
 ) -> Outcome:
-    """Return a row of the table; what broke a rule is kept with its report."""
+    """Return a row of the table; save the day and the output if a rule was broken."""
     if result.fault:
         return Outcome(label, "-", result.fault)
-    if result.kept:
+    if result.passed:
         return Outcome(label, f"{result.worth:.3f}", "kept")
-    KEPT_REPORTS.mkdir(parents=True, exist_ok=True)
+    FAILED_DAYS.mkdir(parents=True, exist_ok=True)
     name = f"{site.stem}-{arguments.variant}-{arguments.seed}-{label}"
-    (KEPT_REPORTS / f"{name}.toml").write_text(text)
-    (KEPT_REPORTS / f"{name}.txt").write_text(result.output)
+    (FAILED_DAYS / f"{name}.toml").write_text(text)
+    (FAILED_DAYS / f"{name}.txt").write_text(result.output)
     return Outcome(label, f"{result.worth:.3f}", f"BROKEN {result.broken} (see {name})")
 
 
