--- a/tests/unit/test_site_variants.py
+++ b/tests/unit/test_site_variants.py
@@ -1,4 +1,4 @@
-"""Deployments derived from a site file: each variant changes what it says, on any names."""
+"""Each variant changes its part of a site file, whatever the names in the file."""
 
 import sys
 import tempfile
@@ -51,10 +51,10 @@
                 changed = self.derive(name) != tomllib.loads(SITE)
                 self.assertEqual(changed, name != "as-is")
 
-    def test_routers_hash_the_other_way(self) -> None:
+    def test_other_hash_switches_the_hash(self) -> None:
         self.assertEqual(self.derive("other-hash")["entry"]["hash"], "steady")
 
-    def test_one_zone_holds_everything(self) -> None:
+    def test_one_zone_moves_everything_to_the_first_zone(self) -> None:
         site = self.derive("one-zone")
         self.assertEqual([zone["name"] for zone in site["zones"]], ["north"])
         self.assertEqual({entry["zone"] for entry in site["machines"]}, {"north"})
@@ -70,8 +70,8 @@
         self.assertEqual(self.derive("double-deadlines")["classes"][0]["deadline_ms"], 2400.0)
 
     def test_packets_are_lost_all_day(self) -> None:
-        (trouble,) = self.derive("lossy")["day"][0]["faults"]
-        self.assertEqual((trouble["x"], trouble["for_s"]), (LOSS_SHARE, 34.0))
+        (fault,) = self.derive("lossy")["day"][0]["faults"]
+        self.assertEqual((fault["x"], fault["for_s"]), (LOSS_SHARE, 34.0))
 
 
 if __name__ == "__main__":
--- a/tools/site_variants.py
+++ b/tools/site_variants.py
@@ -1,7 +1,7 @@
-"""Other deployments derived from a site file of the users' bench, by changing the parsed file.
+"""Derives other deployments from a site file of the users' bench.
 
-Each variant is a function that changes the tables in place; names of zones, services and days are
-taken from the file, so that any site will do.
+Each variant is a function that changes the parsed tables in place. Names of zones, services and
+days come from the file, so variants apply to any site.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def other_hash(site: Site) -> None:
-    """Let routers hash the other way: `steady` for `mod` and back."""
+    """Switch the routers' hash from `steady` to `mod` or back."""
     site["entry"]["hash"] = "mod" if site["entry"]["hash"] == "steady" else "steady"
 
 
@@ -36,12 +36,12 @@
 
 
 def shorter_drain(site: Site) -> None:
-    """Take half a second from the bound on leaving servers."""
+    """Reduce the bound on draining servers by 500 ms."""
     site["bounds"]["drain_ms"] -= 500
 
 
 def one_zone(site: Site) -> None:
-    """Put machines, servers and clients into the first zone."""
+    """Move all machines, servers and clients to the first zone."""
     first = site["zones"][0]["name"]
     site["zones"] = site["zones"][:1]
     for machines in site["machines"]:
@@ -55,46 +55,46 @@
 
 
 def two_a_zone(site: Site) -> None:
-    """Leave two machines of each entry."""
+    """Limit each entry of machines to two."""
     for machines in site["machines"]:
         machines["count"] = min(2, machines["count"])
 
 
 def half_deadlines(site: Site) -> None:
-    """Let clients wait half as long."""
+    """Halve the deadline of each class."""
     _scale_deadlines(site, 0.5)
 
 
 def double_deadlines(site: Site) -> None:
-    """Let clients wait twice as long."""
+    """Double the deadline of each class."""
     _scale_deadlines(site, 2.0)
 
 
 def slow_links(site: Site) -> None:
-    """Give each machine a slow link."""
+    """Limit the link of each machine to SLOW_LINK_MEGABITS."""
     for machines in site["machines"]:
         machines["link_mbps"] = min(SLOW_LINK_MEGABITS, machines["link_mbps"])
 
 
 def lossy(site: Site) -> None:
-    """Lose a share of the packets between zones, all day."""
+    """Add the fault `lossy` with LOSS_SHARE for the whole of each day."""
     for day in site["day"]:
-        trouble = {"kind": "lossy", "at": 0.0, "for_s": site["length_s"], "x": LOSS_SHARE}
-        day["faults"] = [*day.get("faults", ()), trouble]
+        fault = {"kind": "lossy", "at": 0.0, "for_s": site["length_s"], "x": LOSS_SHARE}
+        day["faults"] = [*day.get("faults", ()), fault]
 
 
 def cold_rate_4(site: Site) -> None:
-    """Let a cold server bear 4 requests a second."""
+    """Set the rate of cold servers to 4 requests a second."""
     _set_cold_rate(site, 4.0)
 
 
 def cold_rate_10(site: Site) -> None:
-    """Let a cold server bear 10 requests a second."""
+    """Set the rate of cold servers to 10 requests a second."""
     _set_cold_rate(site, 10.0)
 
 
 def cold_rate_40(site: Site) -> None:
-    """Let a cold server bear 40 requests a second."""
+    """Set the rate of cold servers to 40 requests a second."""
     _set_cold_rate(site, 40.0)
 
 
@@ -104,8 +104,8 @@
 
 
 def _scale_deadlines(site: Site, factor: float) -> None:
-    for kind in site["classes"]:
-        kind["deadline_ms"] = factor * kind["deadline_ms"]
+    for request_class in site["classes"]:
+        request_class["deadline_ms"] = factor * request_class["deadline_ms"]
 
 
 VARIANTS: dict[str, Variant] = {
@@ -129,9 +129,9 @@
 
 
 def derive_site(site: Path, folder: Path, name: str) -> Path:
-    """Copy a site's files to a folder of their own, changed as the variant of this name says."""
-    for neighbour in site.parent.iterdir():
-        (folder / neighbour.name).write_bytes(neighbour.read_bytes())
+    """Copy the site's folder to `folder`, apply the named variant and return the new site file."""
+    for file in site.parent.iterdir():
+        (folder / file.name).write_bytes(file.read_bytes())
     path = folder / site.name
     if name != "as-is":
         tables = tomllib.loads(path.read_text())
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -1,13 +1,13 @@
 """Print the processor time of a node's start, split by part, in milliseconds.
 
-Each stage runs as a process of its own, from what `deploy/build.sh` has installed, and does what
-the stages before it do and one thing more; the difference of medians is what that costs. Stages
-take turns, so that what else the machine does meets all of them. Lists and the key that a node then
-reads from the store are not among them.
+Each stage runs as a separate process from the modules that `deploy/build.sh` installed. It includes
+the stages before it, so that the difference of the medians is the cost of its own part. The stages
+alternate, so that other load on the machine affects all of them. Reading lists and the key from the
+store is not measured.
 
     sh deploy/build.sh && python3 tools/start_cost.py
 
-With `--against FOLDER`, the `target/deps` of another tree, its node is loaded in turns with them.
+`--against FOLDER`, the `target/deps` of another tree, measures loading the node of that tree too.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 with main._no_collections():
     main.load_node()
 """
-"""The start of trees that have no bundle yet."""
+"""The start of a tree without a bundle."""
 PEERS = (
     f"{NODE}import asyncio\n"
     "from beamloom.runtime.gradual_import import import_gradually\n"
@@ -48,7 +48,7 @@
 
 
 class Stage(NamedTuple):
-    """A part of a start, a program that ends with it, and where its modules are installed."""
+    """A part of the start, the program up to its end, and the folder of the installed modules."""
 
     name: str
     program: str
@@ -66,19 +66,19 @@
 )
 
 
-def node_of(folder: Path) -> Stage:
-    """Return the stage in which the node of another tree has been loaded."""
+def node_stage(folder: Path) -> Stage:
+    """Return a stage that loads the node of another tree."""
     has_bundle = (folder / "start.bundle").exists()
     return Stage(f"(node of {folder})", NODE if has_bundle else NODE_BY_MODULES, folder)
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure the stages and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=40)
     parser.add_argument("--against", type=Path, action="append", default=[])
     options = parser.parse_args()
-    stages = (*STAGES, *(node_of(folder.resolve()) for folder in options.against))
+    stages = (*STAGES, *(node_stage(folder.resolve()) for folder in options.against))
     rounds = [[processor_seconds(stage) for stage in stages] for _ in range(options.runs)]
     print("| part | its own, ms | sum, ms | least sum, ms |")
     print("| --- | --- | --- | --- |")
