--- a/tools/soak_broken_builds.py
+++ b/tools/soak_broken_builds.py
@@ -1,8 +1,7 @@
-"""Show that the soak fails: run it against nodes that break one promise each, on purpose.
+"""Check that the soak detects broken builds: run it on nodes that each break one rule.
 
-The program that a soak installs in its temporary folder is patched there, and its modules come from
-files of their own; nothing of it reaches the product. Exit status 1 where a broken build was not
-noticed.
+The patch is applied to the program in the soak's temporary folder, where modules are imported from
+their files instead of the bundle. The exit status is 1 if a broken build was not detected.
 
     .venv/bin/python tools/soak_broken_builds.py [NAME...]
 """
@@ -24,7 +23,7 @@
 SECONDS = 75.0
 NODES = 5
 SEED = 3
-HEAD = """
+PATCH_FUNCTION = """
 import importlib.abc, importlib.util, sys
 
 def patch(name, change):
@@ -45,9 +44,9 @@
 
 
 class BrokenBuild(NamedTuple):
-    """A patch of the nodes and the rules of which one must be seen to break.
+    """A patch of the nodes and the rules, of which the soak must report at least one as broken.
 
-    Only faults of `kinds` strike, beside planned changes; all kinds where none is named.
+    With `kinds`, only these kinds of fault are injected, besides planned changes.
     """
 
     rules: frozenset[str]
@@ -55,44 +54,44 @@
     kinds: frozenset[str] = frozenset()
 
 
-TIMELY = frozenset({"drain", "evacuation", "configuration"})
-"""What nodes in touch owe within a bound; which of them shows is a matter of chance."""
-PATIENT_CALLS = """
+TIME_LIMIT_RULES = frozenset({"drain", "evacuation", "configuration"})
+"""Rules with a time limit; the random faults determine which of them is broken."""
+LONG_CALL_TIMEOUTS = """
 def change(module):
     call = module.HttpConnection.call
-    def patient(connection, method, path, limits, *rest, **named):
+    def call_for_an_hour(connection, method, path, limits, *rest, **named):
         limits = limits._replace(deadline_seconds=3600.0, progress_seconds=3600.0)
         return call(connection, method, path, limits, *rest, **named)
-    module.HttpConnection.call = patient
+    module.HttpConnection.call = call_for_an_hour
 patch("beamloom.runtime.http_client", change)
 """
 NEVER_STALE = """
-def trust(module):
+def change(module):
     module.ReadingTurn._is_stale = lambda *_: False
-patch("beamloom.replication.reading_turn", trust)
+patch("beamloom.replication.reading_turn", change)
 """
 FIRST_READERS_ONLY = """
 def change(module):
     advance = module.ReaderDuty.advance
-    def fixed(duty, now, *, joined=True):
+    def advance_at_first(duty, now, *, joined=True):
         if now - duty.__dict__.setdefault("first_at", now) > 4.0:
             return False
         return advance(duty, now, joined=joined)
-    module.ReaderDuty.advance = fixed
+    module.ReaderDuty.advance = advance_at_first
 patch("beamloom.replication.reader_duty", change)
 """
 LARGE_READERS_ONLY = """
 def change(module):
     advance = module.ReaderDuty.advance
-    def ranked(duty, now, *, joined=True):
+    def advance_if_large(duty, now, *, joined=True):
         return duty.reader_id < "6" and advance(duty, now, joined=joined)
-    module.ReaderDuty.advance = ranked
+    module.ReaderDuty.advance = advance_if_large
 patch("beamloom.replication.reader_duty", change)
 """
-DEAF_TO_STOPS = """
+IGNORE_SIGTERM = """
 import signal
-take = signal.signal
-signal.signal = lambda number, act: take(number, signal.SIG_IGN if number == 15 else act)
+set_handler = signal.signal
+signal.signal = lambda number, act: set_handler(number, signal.SIG_IGN if number == 15 else act)
 """
 BROKEN_BUILDS = {
     "drain": BrokenBuild(
@@ -100,9 +99,9 @@
         """
 def change(module):
     update = module.BackendTable.update
-    def deaf(table, record, revision, now):
+    def ignore_draining(table, record, revision, now):
         return record.state.value != "draining" and update(table, record, revision, now)
-    module.BackendTable.update = deaf
+    module.BackendTable.update = ignore_draining
     module.BackendTable.remove = lambda *_: None
 patch("beamloom.routing.tokens.backend_table", change)
 """,
@@ -158,16 +157,18 @@
 threading.Timer(20.0, lambda: os._exit(9)).start()
 """,
     ),
-    "silence": BrokenBuild(TIMELY, NEVER_STALE + PATIENT_CALLS, frozenset({"silence_all"})),
+    "silence": BrokenBuild(
+        TIME_LIMIT_RULES, NEVER_STALE + LONG_CALL_TIMEOUTS, frozenset({"silence_all"})
+    ),
     "turned_away": BrokenBuild(
-        TIMELY,
+        TIME_LIMIT_RULES,
         NEVER_STALE + FIRST_READERS_ONLY,
         frozenset({"some_refused", "some_throttled", "some_unanswered"}),
     ),
     "capacities": BrokenBuild(
-        TIMELY, NEVER_STALE + LARGE_READERS_ONLY, frozenset({"large_refused"})
+        TIME_LIMIT_RULES, NEVER_STALE + LARGE_READERS_ONLY, frozenset({"large_refused"})
     ),
-    "roll": BrokenBuild(frozenset({"stop"}), DEAF_TO_STOPS, frozenset({"roll"})),
+    "roll": BrokenBuild(frozenset({"stop"}), IGNORE_SIGTERM, frozenset({"roll"})),
     "cold": BrokenBuild(
         frozenset({"cold"}),
         """
@@ -181,15 +182,15 @@
 
 
 def main(names: list[str]) -> int:
-    """Run one soak for each broken build, or each named one; print what was noticed."""
-    missed = 0
+    """Run one soak for each broken build, or for the named ones; print the rules reported."""
+    undetected = 0
     for name in names or BROKEN_BUILDS:
         build = BROKEN_BUILDS[name]
         seen = _rules_broken(build)
-        noticed = bool(build.rules & seen)
-        missed += not noticed
-        print(f"{name:14} {'noticed' if noticed else 'MISSED'}  {sorted(seen)}", flush=True)
-    return 1 if missed else 0
+        detected = bool(build.rules & seen)
+        undetected += not detected
+        print(f"{name:14} {'noticed' if detected else 'MISSED'}  {sorted(seen)}", flush=True)
+    return 1 if undetected else 0
 
 
 def _rules_broken(build: BrokenBuild) -> set[str]:
@@ -202,11 +203,11 @@
 
 
 def _install_broken(patch: str, folder: Path) -> NodeProgram:
-    """Install the program, with a patch before its first line."""
+    """Install the program with the patch before its first line."""
     program = install_program(folder)
     start = Path(program.command[-1])
-    start.write_text(HEAD + patch + start.read_text())
-    (folder / "installed" / BUNDLE).unlink()  # its finder would be asked before the patch's
+    start.write_text(PATCH_FUNCTION + patch + start.read_text())
+    (folder / "installed" / BUNDLE).unlink()  # its finder would come before that of the patch
     return program
 
 
