--- a/src/beamloom/bench/__init__.py
+++ b/src/beamloom/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that a user can repeat: forwarding speed and the scale run."""
+"""Benchmarks of the token path, the forwarding speed and a whole fleet."""
--- a/src/beamloom/bench/forwarding.py
+++ b/src/beamloom/bench/forwarding.py
@@ -1,7 +1,8 @@
-"""Forwarding speed: a real balancer against a bare asyncio UDP relay, alternating in one run.
+"""Compares the forwarding speed of a balancer with that of a bare asyncio UDP relay.
 
-Each batch of packets is put into the target's socket buffer first; only the time in which the
-target takes them out, decides and sends them on is counted. The sink is drained between batches.
+Batches of packets go to both in turn. Each batch is first written to the target's socket buffer;
+only the time in which the target receives, routes and forwards it is counted. The sink is drained
+between batches.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardingReport:
-    """What one run measured; rates are packets per second."""
+    """The result of one run; `ratio` is the rate of the balancer relative to the relay."""
 
     packets_per_second: float
     relay_packets_per_second: float
@@ -61,30 +62,30 @@
 
 
 class _BatchCounter:
-    """Ends the timing of a batch when its last packet was dealt with."""
+    """Counts the packets of a batch and signals when the last one was handled."""
 
     def __init__(self) -> None:
-        self._left = 0
+        self._remaining = 0
         self._done = asyncio.Event()
 
     def expect(self, packets: int) -> None:
-        """Begin a batch."""
-        self._left = packets
+        """Start a batch of this many packets."""
+        self._remaining = packets
         self._done.clear()
 
     def count(self) -> None:
-        """Note one packet."""
-        self._left -= 1
-        if not self._left:
+        """Count one handled packet."""
+        self._remaining -= 1
+        if not self._remaining:
             self._done.set()
 
     async def wait(self) -> None:
-        """Wait for the batch's last packet; raises TimeoutError when packets were lost."""
+        """Wait for the last packet of the batch; raises TimeoutError if packets were lost."""
         await asyncio.wait_for(self._done.wait(), BATCH_TIMEOUT_SECONDS)
 
 
 class _CountingBalancer(BalancerProcess):
-    """The real adapter, with the same count per packet as the bare relay has."""
+    """A balancer that counts packets in the same way as the bare relay."""
 
     def __init__(self, core: NodeCore, sockets: MachineSockets, counter: _BatchCounter) -> None:
         super().__init__(core, sockets)
@@ -96,7 +97,7 @@
 
 
 class _BareRelay(asyncio.DatagramProtocol):
-    """The least that an asyncio program can do with a packet: send it on."""
+    """Forwards each packet without further work, the lower limit for an asyncio program."""
 
     def __init__(self, destination: SocketAddress, counter: _BatchCounter) -> None:
         self._destination = destination
@@ -104,23 +105,23 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport to send with."""
+        """Store the transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Send one packet on."""
+        """Forward one packet."""
         assert self._transport is not None
         self._transport.sendto(data, self._destination)
         self._counter.count()
 
 
 class MeasurementError(Exception):
-    """The run cannot be trusted; repeat it on a machine with less other work."""
+    """The sink lost packets of a batch, so the measured time is not valid."""
 
     def __init__(self, expected: int, received: int) -> None:
         super().__init__(
-            f"the sink got {received} of {expected} packets of a batch: raise its buffer "
-            "(net.core.rmem_max) or stop other work, then measure again"
+            f"the sink received {received} of {expected} packets of a batch: raise its buffer "
+            "(net.core.rmem_max) or reduce other load, then measure again"
         )
 
 
@@ -131,7 +132,7 @@
 
 
 def make_packet(client_number: int) -> bytes:
-    """Build a mid-flow TCP packet of one of 2^32 different clients."""
+    """Build a TCP packet of an open flow; each number is a different client address and port."""
     client = (0x0A80_0000 + (client_number >> 15)).to_bytes(4, "big")
     port = 1024 + (client_number & 0x7FFF)
     segment = dpkt.tcp.TCP(
@@ -217,20 +218,20 @@
         )
 
     def _fill_table(self) -> None:
-        """Open every flow through the same entry point as packets take."""
+        """Open every flow by passing a packet of it to the core."""
         forwarder = self.core.forwarder
         now = asyncio.get_running_loop().time()
         forwarder.update_services([_contract(self._sink_address)], [])
-        alone = [Member(self._machine, MemberState.ALIVE, 0)]
-        forwarder.update_members(alone, now)
-        forwarder.update_members(alone, now + 2 * ALONE_SECONDS)
+        members = [Member(self._machine, MemberState.ALIVE, 0)]
+        forwarder.update_members(members, now)
+        forwarder.update_members(members, now + 2 * ALONE_SECONDS)
         for number in range(self._flows):
             self.core.packet_received(make_packet(number), self._sink_address, False, now)
 
     async def measure_decision(self) -> float:
-        """Return the processor time of the core's answer without sockets, in microseconds.
+        """Return the processor time of a routing decision without sockets, in microseconds.
 
-        It is the least of several means, since other work on the machine only ever adds.
+        It is the minimum of several means, since other load on the machine can only increase them.
         """
         self._fill_table()
         clock = time.process_time
@@ -240,11 +241,11 @@
         """Close the sockets of a bench that was not run."""
         self._sink.close()
         self._source.close()
-        for opened in (self._sockets.data, self._sockets.peer, self._sockets.control):
-            opened.close()
+        for item in (self._sockets.data, self._sockets.peer, self._sockets.control):
+            item.close()
 
     async def _time_batch(self, batch: Sequence[bytes], target: SocketAddress) -> float:
-        """Queue a batch in the target's socket; return the seconds until it was sent on."""
+        """Write a batch to the target's socket; return the seconds until it was forwarded."""
         self._counter.expect(len(batch))
         for packet in batch:
             self._source.sendto(packet, target)
@@ -255,7 +256,7 @@
         return elapsed
 
     def _drain_sink(self, expected: int) -> None:
-        """Take the batch out of the sink; raises MeasurementError when packets are missing."""
+        """Read the batch from the sink; raises MeasurementError if packets are missing."""
         for received in range(expected):
             try:
                 self._sink.recv(DRAIN_BYTES)
@@ -263,7 +264,7 @@
                 raise MeasurementError(expected, received) from error
 
     def _decision_microseconds(self, clock: Callable[[], float] = time.perf_counter) -> float:
-        """Return the mean time of the core's answer, without sockets."""
+        """Return the mean time of a routing decision, without sockets."""
         now = asyncio.get_running_loop().time()
         packets = itertools.islice(itertools.cycle(self._packets), DECISION_ROUNDS)
         decide, source = self.core.packet_received, self._sink_address
@@ -274,7 +275,7 @@
 
 
 def measure_bytes_per_flow(flows: int) -> float:
-    """Return the memory that one entry of a flow table of this many flows takes, in bytes."""
+    """Return the memory per entry of a flow table with this many flows, in bytes."""
     generator = np.random.default_rng(seed=1)
     keys = generator.integers(0, FLOW_KEY_MASK, size=flows, dtype=np.uint64)
     tracemalloc.start()
@@ -287,12 +288,12 @@
 
 
 async def bench_forwarding(flows: int, seconds: float) -> ForwardingReport:
-    """Run the whole measurement; raises MeasurementError when the sink missed packets."""
+    """Run the whole measurement; raises MeasurementError if the sink lost packets."""
     return await ForwardingBench(flows).run(seconds)
 
 
 async def measure_decision(flows: int) -> float:
-    """Return the mean time of a decision with this many open flows, in microseconds."""
+    """Return the processor time of a decision with this many open flows, in microseconds."""
     bench = ForwardingBench(flows)
     try:
         return await bench.measure_decision()
--- a/src/beamloom/bench/token_path.py
+++ b/src/beamloom/bench/token_path.py
@@ -1,7 +1,8 @@
-"""What a packet costs on the token path: read, decide, write, with the event log on and off.
+"""Measures the time to parse, route and encode a packet on the token path, with and without a log.
 
-Sockets are left out. Packets are those of clients' requests: one in `PACKETS_PER_OPENING` opens a
-flow, the others carry data or acknowledgements of open flows.
+Sockets are not included. The packets are those that flows send: each flow has
+`PACKETS_PER_FLOW`, of which the first opens it and the others alternate between data and
+acknowledgements.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 from beamloom.telemetry.event_log import EventLog
 
 BACKENDS_PER_SERVICE = 12
-PACKETS_PER_OPENING = 12
+PACKETS_PER_FLOW = 12
 FLOWS_PER_FLUSH = 32
 DATA = b"x" * 300
 SERVICE = FlowEnd(bytes((198, 18, 0, 1)), 443)
@@ -40,50 +41,50 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenPathCost:
-    """Microseconds a packet, the middle of several rounds."""
+    """Median microseconds per packet over several rounds."""
 
     without_log: float
     with_log: float
 
     @property
     def log_share(self) -> float:
-        """How much more a packet costs with the log on, as a share."""
+        """The added cost of the event log, relative to the cost without it."""
         return self.with_log / self.without_log - 1.0
 
 
 def measure_token_path(packets: int, rounds: int) -> TokenPathCost:
-    """Measure both ways in turn, so that what disturbs the machine disturbs both."""
+    """Alternate both variants, so that other load on the machine affects both."""
     without, with_log = [], []
     for number in range(rounds):
-        without.append(_round(packets, number, None))
+        without.append(_measure_round(packets, number, None))
         log = EventLog("bench", len)
-        with_log.append(_round(packets, number, log))
+        with_log.append(_measure_round(packets, number, log))
     return TokenPathCost(statistics.median(without), statistics.median(with_log))
 
 
-def _round(packets: int, seed: int, log: EventLog | None) -> float:
+def _measure_round(packets: int, seed: int, log: EventLog | None) -> float:
     on_decision: Callable[[Decision], None] = ignore_decision
     if log is not None:
         on_decision = DecisionLog(log, packet_layout.describe_flow, lambda: 0.5).decision
     router = _make_router(seed, on_decision)
-    clients = packets // PACKETS_PER_OPENING
-    spent = 0
-    for number in range(clients):
+    flows = packets // PACKETS_PER_FLOW
+    elapsed_ns = 0
+    for number in range(flows):
         token = 0
-        for data in _packets(number):
+        for data in _flow_packets(number):
             datagram = packet_layout.with_echo(data, token) if token else data
-            began = time.perf_counter_ns()
-            token = _carry(router, datagram) or token
-            spent += time.perf_counter_ns() - began
+            started = time.perf_counter_ns()
+            token = _forward(router, datagram) or token
+            elapsed_ns += time.perf_counter_ns() - started
         if log is not None and number % FLOWS_PER_FLUSH == 0:
-            began = time.perf_counter_ns()
+            started = time.perf_counter_ns()
             log.flush()
-            spent += time.perf_counter_ns() - began
-    return spent / NANOSECONDS_PER_MICROSECOND / (clients * PACKETS_PER_OPENING)
+            elapsed_ns += time.perf_counter_ns() - started
+    return elapsed_ns / NANOSECONDS_PER_MICROSECOND / (flows * PACKETS_PER_FLOW)
 
 
-def _carry(router: TokenRouter, datagram: bytes) -> int:
-    """Do with a datagram what a node does between its sockets; return the token it wrote."""
+def _forward(router: TokenRouter, datagram: bytes) -> int:
+    """Parse, route and encode a datagram as a node does; return the token of the command."""
     packet = packet_layout.parse_packet(datagram)
     assert packet is not None
     command = router.handle(packet, time.monotonic())
@@ -92,11 +93,11 @@
     return command.token
 
 
-def _packets(number: int) -> Iterator[bytes]:
-    """Yield a flow's opening packet, then data and acknowledgements in turn, without tokens."""
+def _flow_packets(number: int) -> Iterator[bytes]:
+    """Yield the packets of a flow without tokens: the opening, then data and acknowledgements."""
     client = FlowEnd(bytes((100, 64, number >> 8 & 255, number & 255)), 1024 + number % 999)
     yield FlowPacket(client, SERVICE, FLAG_SYN, 1).encode()
-    for step in range(PACKETS_PER_OPENING - 1):
+    for step in range(PACKETS_PER_FLOW - 1):
         data = DATA if step % 2 == 0 else b""
         sequence = 2 + len(DATA) * step
         yield FlowPacket(client, SERVICE, FLAG_ACK, sequence, 1 + step, 0, data).encode()
--- a/tests/functional/test_forwarding_bench.py
+++ b/tests/functional/test_forwarding_bench.py
@@ -1,4 +1,4 @@
-"""The forwarding measurement runs end to end on real sockets; its figures are not judged here."""
+"""The forwarding measurement runs end to end on real sockets; speeds are not checked."""
 
 import asyncio
 import unittest
@@ -7,7 +7,7 @@
 
 
 class ForwardingBenchTest(unittest.TestCase):
-    def test_a_small_run_counts_both_sides(self) -> None:
+    def test_a_small_run_measures_balancer_and_relay(self) -> None:
         report = asyncio.run(bench_forwarding(flows=1024, seconds=0.01))
         self.assertEqual(report.flows, 1024)
         self.assertGreater(report.packets_per_second, 0)
--- a/tests/unit/test_token_path_bench.py
+++ b/tests/unit/test_token_path_bench.py
@@ -1,4 +1,4 @@
-"""The measurement of the token path runs and tells plausible figures."""
+"""The measurement of the token path runs and reports plausible figures."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class TokenPathBenchTest(unittest.TestCase):
-    def test_it_measures_both_ways(self) -> None:
+    def test_it_measures_with_and_without_the_log(self) -> None:
         cost = measure_token_path(packets=1200, rounds=1)
         self.assertGreater(cost.without_log, 0.1)
         self.assertGreater(cost.with_log, 0.1)
