--- a/tests/unit/examples_for_run.py
+++ b/tests/unit/examples_for_run.py
@@ -8,4 +8,4 @@
         self.assertTrue(True)
 
     def test_that_fails(self) -> None:
-        self.fail("as it should")
+        self.fail("expected failure")
--- a/tests/unit/test_run.py
+++ b/tests/unit/test_run.py
@@ -1,4 +1,4 @@
-"""How the runner counts: known red tests are told, all others that fail, fail the run."""
+"""Failures of known red tests are reported; every other failure fails the run."""
 
 import tempfile
 import unittest
@@ -16,15 +16,15 @@
         result = run.run_module(MODULE)
         self.assertEqual((result.passed, result.failed, result.known_red), (1, 1, ()))
 
-    def test_a_listed_one_is_told_and_passed_over(self) -> None:
+    def test_a_listed_failure_is_reported_and_does_not_fail_the_run(self) -> None:
         result = run.run_module(MODULE, (RED,))
         self.assertEqual((result.passed, result.failed, result.known_red), (1, 0, (RED,)))
         self.assertIn("test_that_fails", result.report)
 
-    def test_another_listed_test_excuses_nothing(self) -> None:
+    def test_an_entry_for_another_test_does_not_excuse_a_failure(self) -> None:
         self.assertEqual(run.run_module(MODULE, (f"{MODULE}.Other.test",)).failed, 1)
 
-    def test_the_list_is_read_and_each_entry_is_whole(self) -> None:
+    def test_entries_are_read_and_incomplete_ones_are_rejected(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "KNOWN-RED.txt"
             with mock.patch.object(run, "KNOWN_RED", path):
