--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages: links resolve, commands and flags exist, every scenario has its operators' row."""
+"""Links, commands, flags and settings in pages exist; every scenario has a row for operators."""
 
 import itertools
 import re
@@ -27,7 +27,7 @@
 
 
 def command_lines(text: str) -> Iterator[str]:
-    """Yield what stands in a page after `beamloom`, from code blocks and inline code."""
+    """Yield the arguments of `beamloom` commands in code blocks and inline code of a page."""
     blocks = "\n".join(first or second for first, second in CODE_BLOCK.findall(text))
     lines = blocks.replace("\\\n", " ").splitlines()
     for line in itertools.chain(lines, INLINE_CODE.findall(text)):
@@ -50,15 +50,15 @@
     return {name for argument in arguments for name in argument.names} | COMMON_FLAGS
 
 
-def fault_in_command(app: App, line: str) -> str | None:
-    """Return what is wrong with a command line, of which the page may give only the beginning."""
+def error_in_command(app: App, line: str) -> str | None:
+    """Return the error in a command line, which may be only the beginning of a command."""
     words = shlex.split(line, comments=True)
     path = list(itertools.takewhile(COMMAND_WORD.fullmatch, words))
     for word in path:
         if app.default_command is not None:
             break
         if word not in set(app):
-            return f"{word!r} is no command of {' '.join(app.name)}"
+            return f"{word!r} is not a command of {' '.join(app.name)}"
         app = app[word]
     unknown = {flag for flag in words if FLAG.fullmatch(flag)} - known_flags(app)
     return f"no flag {', '.join(sorted(unknown))}" if unknown else None
@@ -90,7 +90,7 @@
             for line in command_lines(page.read_text()):
                 found += 1
                 with self.subTest(page=page.relative_to(ROOT), line=line):
-                    self.assertIsNone(fault_in_command(app, line))
+                    self.assertIsNone(error_in_command(app, line))
         self.assertGreater(found, 40)
 
     def test_settings_named_in_pages_exist(self) -> None:
@@ -99,16 +99,16 @@
                 with self.subTest(page=page.relative_to(ROOT), setting=name):
                     self.assertIn(name, DECLARATIONS)
 
-    def test_every_scenario_has_its_row_for_operators(self) -> None:
+    def test_every_scenario_has_a_row_for_operators(self) -> None:
         page = ROOT / "docs" / "operators" / "index.md"
         rows = re.findall(r"\| `beamloom simulate ([a-z-]+)` \|$", page.read_text(), re.M)
         self.assertEqual(sorted(rows), sorted(SCENARIOS))
 
-    def test_a_wrong_command_or_flag_is_found(self) -> None:
+    def test_an_unknown_command_or_flag_is_detected(self) -> None:
         app = make_app()
-        self.assertIsNone(fault_in_command(app, "backend drain T/S/B --undo"))
-        self.assertIsNotNone(fault_in_command(app, "backend drian T/S/B"))
-        self.assertIsNotNone(fault_in_command(app, "backend drain T/S/B --undoo"))
+        self.assertIsNone(error_in_command(app, "backend drain T/S/B --undo"))
+        self.assertIsNotNone(error_in_command(app, "backend drian T/S/B"))
+        self.assertIsNotNone(error_in_command(app, "backend drain T/S/B --undoo"))
 
 
 if __name__ == "__main__":
