--- a/tests/measurements/__init__.py
+++ b/tests/measurements/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that are run by hand; none of them is a test."""
+"""Measurements that are run by hand; the test runner does not run them."""
--- a/tests/measurements/backend_status.py
+++ b/tests/measurements/backend_status.py
@@ -1,9 +1,10 @@
-"""Measures status gossip of a fleet in memory: `python -m tests.measurements.backend_status NODES`.
+"""Measures status gossip of a simulated fleet with 4,400 backends and prints one line of JSON.
 
-4,400 backends, with 21 node failures and 1,300 restarts of nodes and of backends a day (Poisson,
-the rate multiplied by the second argument). A third argument `drift` makes every load report
-wander by 0.3 an hour; otherwise reports only have noise. A third argument `cold` measures instead
-the start of a whole fleet that knows nothing. Prints one JSON line.
+    python -m tests.measurements.backend_status NODES FACTOR [drift | cold]
+
+Per day there are 21 node failures, 1,300 node restarts and 1,300 backend restarts, at random times
+and all multiplied by FACTOR. With `drift`, load reports vary by 0.3 over a period of one hour in
+addition to noise. With `cold`, the start of a whole fleet without records is measured instead.
 """
 
 import json
@@ -22,13 +23,13 @@
 
 DAY = 86_400.0
 WINDOW = 60.0
-LONG_ENOUGH = 60.0
+SPREAD_TIMEOUT = 60.0
 RESTART_SECONDS = 20.0
-LONGEST_COLD_START = 180.0
+COLD_START_TIMEOUT = 180.0
 
 
 class Churn:
-    """Restarts nodes and backends at the given number of times the daily rate."""
+    """Replaces nodes and restarts backends at `factor` times the daily rates."""
 
     def __init__(self, fleet: Fleet, factor: float, *, drift: bool) -> None:
         self.fleet = fleet
@@ -72,20 +73,20 @@
 
 
 def load_records(fleet: Fleet, numbers: list[int]) -> None:
-    """Give every node the records of a fleet that has run for long: all backends online."""
+    """Load records into every node, with all backends online and checked."""
     record = StatusRecord(
         1, True, StatusReason.CHECKS_PASSED, NEUTRAL_CLASS, BackendOperatingStatus.ONLINE
     )
-    flat = [item for number in numbers for item in (number, record.encode())]
+    entries = [item for number in numbers for item in (number, record.encode())]
     step = 2 * MAXIMUM_BATCH_RECORDS
     for node in fleet.nodes.values():
-        for start in range(0, len(flat), step):
-            batch = StatusBatch(flat[start : start + step], False)
+        for start in range(0, len(entries), step):
+            batch = StatusBatch(entries[start : start + step], False)
             node.handle_message(NodeId("past"), batch, 0.0)
 
 
 def spread_seconds(fleet: Fleet, churn: Churn) -> list[float]:
-    """Return when 50%, 99% and 100% of the nodes knew of a backend that stopped answering."""
+    """Return the seconds until 50%, 99% and 100% of the nodes see a failed backend as offline."""
     number = churn.numbers[17]
     churn.down[number] = fleet.now + DAY
     start = fleet.now
@@ -94,7 +95,7 @@
         while True:
             views = [node.status(number, fleet.now) for node in fleet.nodes.values()]
             offline = sum(view.status is BackendOperatingStatus.OFFLINE for view in views)
-            if offline >= share * len(views) or fleet.now - start > LONG_ENOUGH:
+            if offline >= share * len(views) or fleet.now - start > SPREAD_TIMEOUT:
                 break
             fleet.run(0.1)
         times.append(round(fleet.now - start, 1))
@@ -102,10 +103,10 @@
 
 
 def measure_cold_start(fleet: Fleet, total: int) -> dict[str, object]:
-    """Return how many nodes hold all records, and the rate of bytes, after each 30 s."""
+    """Return the records that nodes hold and the largest send rate of a node, every 30 s."""
     progress = []
     before = dict.fromkeys(fleet.nodes, 0)
-    while fleet.now < LONGEST_COLD_START:
+    while fleet.now < COLD_START_TIMEOUT:
         fleet.run(30.0)
         held = sorted(node.snapshot().records for node in fleet.nodes.values())
         largest = max(fleet.sent_bytes[node] - before[node] for node in fleet.nodes) / 30.0
--- a/tests/measurements/configuration.py
+++ b/tests/measurements/configuration.py
@@ -1,6 +1,9 @@
-"""Measure how a change comes into force: `python -m tests.measurements.configuration --help`.
+"""Measures how changes of the configuration come into force in a simulated fleet.
 
-Virtual time; processor time is real, of the replicas, elections, status and budget with the codec.
+    python -m tests.measurements.configuration --help
+
+Times are virtual. The processor time is real and covers replica, status, election and send
+budget of a node, with the codec.
 """
 
 from __future__ import annotations
@@ -28,7 +31,7 @@
 
 
 def largest_window(sent: list[tuple[float, int]]) -> int:
-    """Return the most bytes in any window of ten seconds."""
+    """Return the most bytes sent in any window of WINDOW_SECONDS."""
     largest, total, first = 0, 0, 0
     for moment, size in sent:
         total += size
@@ -45,17 +48,17 @@
 
 
 def answer_seconds(fleet: Fleet, revision: int) -> float | None:
-    """Return how long one node takes to learn that every node has `revision` in force."""
-    asker: Node = next(iter(fleet.nodes.values()))
+    """Return the seconds until one node has confirmed that every node has `revision` in force."""
+    requester: Node = next(iter(fleet.nodes.values()))
     started = fleet.now
-    fleet.do(asker, lambda: asker.status.ask(revision, fleet.now))
+    fleet.do(requester, lambda: requester.status.ask(revision, fleet.now))
     count = len(fleet.nodes)
-    whole = fleet.run(20.0, lambda: asker.status.in_force(revision).count_in_force == count)
-    return round(fleet.now - started, 3) if whole else None
+    complete = fleet.run(20.0, lambda: requester.status.in_force(revision).count_in_force == count)
+    return round(fleet.now - started, 3) if complete else None
 
 
 def measure(nodes: int, loss: float, delays: str, changes: int, seed: int) -> dict[str, Any]:
-    """Return the figures of one run."""
+    """Run a simulated fleet and return the figures as a JSON object."""
     fleet = Fleet(nodes, loss=loss, delays=DELAYS[delays], seed=seed, measure_cpu=True)
     for number in range(5):
         fleet.store.write(f"backend/t/s/b{number}", backend(number, number))
@@ -63,10 +66,10 @@
     fleet.run(20.0)
     for node in fleet.nodes.values():
         node.cpu = 0.0
-    started, chance = fleet.now, random.Random(seed)
+    started, rng = fleet.now, random.Random(seed)
     accepted: dict[int, float] = {}
     for number in range(changes):
-        value = backend(number % 5, chance.getrandbits(64))
+        value = backend(number % 5, rng.getrandbits(64))
         accepted[fleet.write_tracked(f"backend/t/s/b{number % 5}", value)] = fleet.now
         fleet.run(PAUSE_BETWEEN_CHANGES)
     fleet.check_states()
--- a/tests/measurements/exchange_bytes.py
+++ b/tests/measurements/exchange_bytes.py
@@ -1,11 +1,11 @@
-"""Measures what nodes send each other, by node and kind:
-`python -m tests.measurements.exchange_bytes NODES`.
-
-Four zones, ten backends a node; one machine in eight has 20 times the link of the others (100 and
-5 Mbit/s), and each node's datagrams leave one after the other. Two events: a third of the backends
-start cold (each changes three times within 2 s), and the whole fleet starts anew while all backends
-do. Prints, for each, bytes a second of the busiest second: middle node, busiest node, its share of
-its link, and its bytes by kind.
+"""Measures the bytes of the view exchange in a simulated fleet, by node and message type.
+
+    python -m tests.measurements.exchange_bytes NODES
+
+The fleet has four zones and ten backends per node. One machine in eight has a link of 100 Mbit/s,
+the others have 5 Mbit/s, and the link delays the datagrams of a node. Three phases are measured: no
+changes; a third of the backends restart, with three changes each within 2 s; and all nodes and
+backends restart. The printed rates are those of the busiest second of a node.
 """
 
 import random
@@ -27,20 +27,20 @@
 LARGE = Capacity(2.15, 100.0, 300.0, 4100.0)
 SMALL = Capacity(0.116, 5.0, 152.0, 1024.0)
 ZONES = ("north", "east", "south", "west")
-LARGE_EACH = 8
+LARGE_INTERVAL = 8
 BACKENDS_PER_NODE = 10
 BITS = 8
 STEP_SECONDS = 0.1
 EVENT_SECONDS = 2.0
-WATCHED_SECONDS = 6.0
-CHANGES_OF_A_START = 3
+MEASURED_SECONDS = 6.0
+CHANGES_PER_RESTART = 3
 SEEDS = 3
-LONG_SECONDS = 0.25
-LONG_INDEX = BOUNDS_SECONDS.index(LONG_SECONDS) + 1
+LONG_CATCH_UP_SECONDS = 0.25
+LONG_INDEX = BOUNDS_SECONDS.index(LONG_CATCH_UP_SECONDS) + 1
 
 
 class CountingNetwork(Network):
-    """A network whose hosts have links of their own; counts bytes by second, host and kind."""
+    """A network with a link capacity per host; counts bytes by second, host and message type."""
 
     def __init__(self, count: int, seed: int) -> None:
         super().__init__(count, seed)
@@ -48,20 +48,20 @@
         self.capacity: dict[str, Capacity] = {}
         self.free_at: dict[str, float] = {}
         for number, host in enumerate(self.nodes):
-            self.capacity[host] = LARGE if number % LARGE_EACH == LARGE_EACH - 1 else SMALL
-            self.prepare(self.nodes[host], number)
+            self.capacity[host] = LARGE if number % LARGE_INTERVAL == LARGE_INTERVAL - 1 else SMALL
+            self.configure_node(self.nodes[host], number)
 
-    def prepare(self, node: Node, number: int) -> None:
+    def configure_node(self, node: Node, number: int) -> None:
         node.exchange.peers.zone = ZONES[number % len(ZONES)]
         node.exchange.peers.capacity = self.capacity[node.host]
         node.exchange.pulls.budget = AnswerBudget(self.capacity[node.host])
 
-    def start_all(self) -> None:
-        """Put a new process in place of each."""
+    def restart_all(self) -> None:
+        """Replace every node by one without state."""
         hosts = list(self.nodes)
         for number, host in enumerate(hosts):
             self.nodes[host] = Node(host, hosts[:SEEDS], self.rng)
-            self.prepare(self.nodes[host], number)
+            self.configure_node(self.nodes[host], number)
 
     def flush(self, node: Node) -> None:
         rate = self.capacity[node.host].link_megabits * 1e6 / BITS
@@ -69,10 +69,10 @@
             self.sent += 1
             data = encode_datagram(KEYS, NodeId("5-0011aabb"), self.sent, 10**7, [send.message])
             size = len(data) + HEADER_BYTES
-            begins = max(self.now, self.free_at.get(node.host, 0.0))
-            self.free_at[node.host] = begins + size / rate
+            starts_at = max(self.now, self.free_at.get(node.host, 0.0))
+            self.free_at[node.host] = starts_at + size / rate
             kind = type(send.message).__name__
-            self.bytes[int(begins), node.host, kind] += size
+            self.bytes[int(starts_at), node.host, kind] += size
             due = self.free_at[node.host] + self.delay
             heappush(self._in_transit, (due, self.sent, node.host, send.host, send.message))
 
@@ -105,14 +105,14 @@
 
 
 def catch_up(network: CountingNetwork) -> str:
-    """Return the mean of the times from hearing of more to knowing it, and how many were long."""
+    """Describe the catch-up times since the last call: the mean and the number of long ones."""
     found = [node.exchange.pulls.catch_up_seconds for node in network.nodes.values()]
     total = sum(len(times) for times in found)
     long = sum(sum(times.counts[LONG_INDEX:]) for times in found)
     seconds = sum(times.total_seconds for times in found) / max(1, total)
     for node in network.nodes.values():
         node.exchange.pulls.catch_up_seconds = LatencyHistogram()
-    return f"mean {seconds:.3f} s, {long} of {total} above {LONG_SECONDS} s"
+    return f"mean {seconds:.3f} s, {long} of {total} above {LONG_CATCH_UP_SECONDS} s"
 
 
 def busiest_share(network: CountingNetwork, rates: Counter[tuple[int, str]]) -> str:
@@ -140,7 +140,7 @@
 def main(count: int) -> None:
     network = CountingNetwork(count, seed=5)
     numbers = list(range(1, BACKENDS_PER_NODE * count + 1))
-    readers = list(network.nodes.values())[LARGE_EACH - 1 :: LARGE_EACH][:1]
+    readers = list(network.nodes.values())[LARGE_INTERVAL - 1 :: LARGE_INTERVAL][:1]
     network.run(15.0)
     learn_many(network, readers, numbers, 10)
     network.run(15.0)
@@ -150,12 +150,12 @@
     cold = numbers[::3]
     since = network.now
     change_in_steps(network, readers, cold, revision=100)
-    network.run(WATCHED_SECONDS - EVENT_SECONDS)
+    network.run(MEASURED_SECONDS - EVENT_SECONDS)
     report("cold zone", network, since)
     since = network.now
     listed = dict(readers[0].view._stored)
     revision = readers[0].view.revision or 0
-    network.start_all()
+    network.restart_all()
     for node in network.nodes.values():
         node.view.replace(
             [NamedRecord(name, held.revision, held.record) for name, held in listed.items()],
@@ -164,7 +164,7 @@
         node.view.confirm(network.now)
     readers = [network.nodes[readers[0].host]]
     change_in_steps(network, readers, numbers, revision=revision + 100)
-    network.run(WATCHED_SECONDS - EVENT_SECONDS)
+    network.run(MEASURED_SECONDS - EVENT_SECONDS)
     report("start of all", network, since)
 
 
@@ -172,9 +172,9 @@
     network: CountingNetwork, readers: list[Node], numbers: list[int], revision: int
 ) -> None:
     steps = round(EVENT_SECONDS / STEP_SECONDS)
-    chance = random.Random(7)
+    rng = random.Random(7)
     events = [
-        (chance.randrange(steps), number) for number in numbers for _ in range(CHANGES_OF_A_START)
+        (rng.randrange(steps), number) for number in numbers for _ in range(CHANGES_PER_RESTART)
     ]
     for step in range(steps):
         changed = sorted({number for at, number in events if at == step})
--- a/tests/measurements/membership_faults.py
+++ b/tests/measurements/membership_faults.py
@@ -1,7 +1,7 @@
-"""Measure what crashes, loss, pauses and starts do to membership, on a virtual clock.
+"""Measures the effect of loss, pauses, crashes and joins on membership, on a virtual clock.
 
 `python -m tests.measurements.membership_faults` with the arguments `loss`, `loss SHARE SEED`,
-`pause`, `crash NODES`, `join NODES` or `start NODES`; the seeds are fixed.
+`pause`, `crash NODES`, `join NODES` or `start NODES`. Seeds are fixed unless given.
 """
 
 import statistics
@@ -21,11 +21,11 @@
 PAUSE_REPEATS = 10
 CRASHES = 10
 SMALL_FLEET = 100
-LONGEST_START = 300.0
+START_TIMEOUT = 300.0
 
 
 def count_declared(fleet: Fleet) -> int:
-    """Return how often any node declared another dead by its own timer."""
+    """Return the deaths that nodes declared, summed over all nodes."""
     return sum(core.snapshot().counters.deaths_declared for core in fleet.cores.values())
 
 
@@ -39,7 +39,7 @@
 
 
 def measure_pause(nodes: int, seconds: float) -> str:
-    """Pause a node several times, each in a fleet of its own; count pauses that ended in death."""
+    """Pause one node in each of several fleets; count those in which a death was declared."""
     deaths = 0
     for seed in range(PAUSE_REPEATS):
         fleet = Fleet.settled(nodes, seed)
@@ -50,8 +50,8 @@
     return f"| {nodes} | {seconds} | {deaths} of {PAUSE_REPEATS} |"
 
 
-def largest_rate(fleet: Fleet) -> float:
-    """Return the most bytes a second that any node sent over any window."""
+def highest_send_rate(fleet: Fleet) -> float:
+    """Return the highest average of bytes per second that a node sent over any window."""
     largest = 0
     for per_second in fleet.sent_bytes.values():
         sums: dict[int, int] = defaultdict(int)
@@ -63,9 +63,9 @@
 
 
 def run_until_listed(fleet: Fleet, total: int) -> float:
-    """Return when every node knows every other."""
+    """Return the seconds until every node lists all members, or infinity."""
     start = fleet.now
-    while fleet.now - start < LONGEST_START:
+    while fleet.now - start < START_TIMEOUT:
         fleet.run(0.5)
         if all(len(core.view.members) == total for core in fleet.cores.values()):
             return fleet.now - start
@@ -73,7 +73,7 @@
 
 
 def measure_crashes(nodes: int) -> str:
-    """Crash one node after another, each time in a fleet that has forgotten the last."""
+    """Crash one node at a time: each in a new fleet, or one after another in a large fleet."""
     times = []
     for seed in range(CRASHES if nodes <= SMALL_FLEET else 1):
         fleet = Fleet.settled(nodes, seed)
@@ -91,14 +91,14 @@
     item = machine(nodes)
     newcomer = fleet.add(item, [machine(0), machine(1), machine(2)])
     start = fleet.now
-    while not newcomer.snapshot().synchronized and fleet.now - start < LONGEST_START:
+    while not newcomer.snapshot().synchronized and fleet.now - start < START_TIMEOUT:
         fleet.run(0.1)
     listed = fleet.now - start
     fleet.do(item.node_id, newcomer.become_alive(fleet.now))
     while set(fleet.states(item.node_id).values()) != {MemberState.ALIVE}:
         fleet.run(0.1)
     known = fleet.now - start - listed
-    return f"| {nodes} | {listed:.1f} | {known:.1f} | {largest_rate(fleet):.0f} |"
+    return f"| {nodes} | {listed:.1f} | {known:.1f} | {highest_send_rate(fleet):.0f} |"
 
 
 def measure_start(nodes: int) -> str:
@@ -107,7 +107,7 @@
     for number in range(nodes):
         fleet.add(machine(number), seeds)
     listed = run_until_listed(fleet, nodes)
-    return f"| {nodes} | {listed:.1f} | {largest_rate(fleet):.0f} | {count_declared(fleet)} |"
+    return f"| {nodes} | {listed:.1f} | {highest_send_rate(fleet):.0f} | {count_declared(fleet)} |"
 
 
 def main() -> None:
