--- a/src/beamloom/bench/scale.py
+++ b/src/beamloom/bench/scale.py
@@ -1,7 +1,7 @@
-"""The scale run: a whole fleet of hollow nodes in one process, measured by role.
+"""Benchmark of a whole fleet of simulated nodes in one process, with figures by role.
 
-The cores are the product's own. Each call of a core is timed by the processor time of the thread;
-automatic garbage collection is off while a phase is measured, since one heap holds every node.
+The nodes run the real cores. Each call of a core is timed by the processor time of the thread.
+Automatic garbage collection is disabled during a phase, as one heap holds all nodes.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleReport:
-    """The result of one run; `resident_mib_per_node` is the slope of resident memory."""
+    """The result of one run; `resident_mib_per_node` is the growth of the peak memory per node."""
 
     options: ScaleOptions
     build_wall_seconds: float
@@ -45,7 +45,7 @@
 
 
 class ScaleRun:
-    """Builds the fleet, lets it settle, and measures one phase after the other."""
+    """Builds the fleet, warms it up and measures the phases one after another."""
 
     def __init__(self, options: ScaleOptions) -> None:
         self.options = options
@@ -56,13 +56,13 @@
 
     def run(self, *, with_single_core: bool = True) -> ScaleReport:
         """Run all phases."""
-        began = time.perf_counter()
+        started = time.perf_counter()
         with shared_structures():
             self.fleet.build()
-            chance = self.fleet.random("open flows")
-            fill_flow_tables(list(self.fleet.nodes.values()), self.options, chance, 0.0)
+            rng = self.fleet.random("open flows")
+            fill_flow_tables(list(self.fleet.nodes.values()), self.options, rng, 0.0)
             self.feed.start()
-            built = time.perf_counter() - began
+            built = time.perf_counter() - started
             self.fleet.clock.run_until(self.options.warm_up)
             phases = [self._phase("steady", 1.0), self._phase("changes", self.options.compression)]
             if self.options.failures:
@@ -141,9 +141,9 @@
         return [node_figures(node, start, end) for node in self.fleet.running()]
 
     def _schedule_changes(self, seconds: float, compression: float) -> None:
-        pause = SECONDS_PER_DAY / (self.options.changes_per_day * compression)
-        for number in range(int(seconds / pause)):
-            self.fleet.clock.call_later((number + 0.5) * pause, self.fleet.change_backend)
+        interval = SECONDS_PER_DAY / (self.options.changes_per_day * compression)
+        for number in range(int(seconds / interval)):
+            self.fleet.clock.call_later((number + 0.5) * interval, self.fleet.change_backend)
 
     def _queued(self, node: HollowNode) -> float:
         queues = node.core.core.channel.snapshot().priorities
@@ -158,5 +158,5 @@
 
 
 def bench_scale(options: ScaleOptions, *, with_single_core: bool = True) -> ScaleReport:
-    """Run a scale measurement; takes minutes and gigabytes at hundreds of nodes."""
+    """Run the benchmark; hundreds of nodes take minutes and gigabytes."""
     return ScaleRun(options).run(with_single_core=with_single_core)
--- a/src/beamloom/bench/scale_deployment.py
+++ b/src/beamloom/bench/scale_deployment.py
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredBackend:
-    """A backend's key and value in the store, which change events alter."""
+    """The key and value of a backend in the store."""
 
     key: str
     value: dict[str, Any]
 
 
 def zones_of(options: ScaleOptions) -> tuple[Zone, ...]:
-    """Return the zones, dealt out to the regions in turn."""
+    """Return the zones, assigned to the regions round-robin."""
     return tuple(
         Zone(f"zone-{index + 1}", f"region-{index % options.regions + 1}")
         for index in range(options.zones)
@@ -43,13 +43,13 @@
     for index, first in enumerate(zones):
         yield Link(first.name, PLATFORM_ZONE, PLATFORM_DELAY)
         for second in zones[index + 1 :]:
-            near = first.region == second.region
-            delay = BETWEEN_ZONES_DELAY if near else BETWEEN_REGIONS_DELAY
+            same_region = first.region == second.region
+            delay = BETWEEN_ZONES_DELAY if same_region else BETWEEN_REGIONS_DELAY
             yield Link(first.name, second.name, delay)
 
 
 def machine_of(number: int, zones: tuple[Zone, ...]) -> Machine:
-    """Return machine `number` (from 0); machines are dealt out to the zones in turn."""
+    """Return machine `number` (from 0); machines are assigned to the zones round-robin."""
     network, host_number = divmod(number, HOSTS_PER_NETWORK)
     host = f"10.1.{network}.{host_number + 1}"
     return Machine(
@@ -94,7 +94,7 @@
 
 
 def stored_backends(options: ScaleOptions, zones: tuple[Zone, ...]) -> Iterator[StoredBackend]:
-    """Yield the backends, dealt out to the services in turn."""
+    """Yield the backends, assigned to the services and zones round-robin."""
     for number in range(options.endpoints):
         service = number % options.services
         network, host_number = divmod(number, HOSTS_PER_NETWORK)
--- a/src/beamloom/bench/scale_failures.py
+++ b/src/beamloom/bench/scale_failures.py
@@ -1,4 +1,4 @@
-"""The failures of an ordinary day and of rare ones, compressed into one phase of a scale run."""
+"""The failures that are injected during one phase of a scale run."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 
 
 class FailurePlan:
-    """Single crashes, replacements, a rack, a split of the regions, and last a zone.
+    """Schedules crashes, replacements, a rack failure, a region partition and a zone failure.
 
-    The times are shares of the phase; a replacement starts a node and, once it is ready, stops an
-    older one.
+    The times are proportional to the length of the phase. A replacement starts a node and stops the
+    oldest one when the new one is ready.
     """
 
-    def __init__(self, fleet: HollowFleet, chance: random.Random) -> None:
+    def __init__(self, fleet: HollowFleet, rng: random.Random) -> None:
         self._fleet = fleet
-        self._random = chance
+        self._random = rng
         self._join_seconds: list[float] = []
         self._joins = 0
         self._crashed = 0
 
     def schedule(self, seconds: float) -> None:
-        """Schedule everything within the coming phase."""
-        later = self._fleet.clock.call_later
+        """Schedule all failures of a phase that starts now."""
+        call_later = self._fleet.clock.call_later
         for number in range(MACHINE_FAILURES):
-            later(seconds * (0.05 + 0.05 * number), self._crash_some, 1)
+            call_later(seconds * (0.05 + 0.05 * number), self._crash_some, 1)
         for number in range(REPLACEMENTS):
-            later(seconds * (0.02 + 0.1 * number), self._start_replacement)
+            call_later(seconds * (0.02 + 0.1 * number), self._start_replacement)
         rack = max(1, round(len(self._fleet.running()) * RACK_SHARE))
-        later(seconds * 0.3, self._crash_some, rack)
-        later(seconds * 0.45, self._split_regions)
-        later(seconds * 0.75, self._lose_zone)
+        call_later(seconds * 0.3, self._crash_some, rack)
+        call_later(seconds * 0.45, self._split_regions)
+        call_later(seconds * 0.75, self._lose_zone)
 
     def figures(self) -> dict[str, float]:
-        """Return what became of crashes and joins."""
+        """Return the counts of crashes and joins and the longest join."""
         return {
             "nodes_crashed": self._crashed,
             "joins_begun": self._joins,
@@ -79,13 +79,13 @@
     def _start_replacement(self) -> None:
         self._joins += 1
         node = self._fleet.start_node()
-        self._look_at_join(node, self._fleet.clock.now)
+        self._poll_join(node, self._fleet.clock.now)
 
-    def _look_at_join(self, node: HollowNode, started: float) -> None:
+    def _poll_join(self, node: HollowNode, started: float) -> None:
         if not node.host.running:
             return
         if not node.core.ready:
-            self._fleet.clock.call_later(0.25, self._look_at_join, node, started)
+            self._fleet.clock.call_later(0.25, self._poll_join, node, started)
             return
         self._join_seconds.append(self._fleet.clock.now - started)
         self._fleet.stop_node(NodeId(self._fleet.running()[0].name))
--- a/src/beamloom/bench/scale_fleet.py
+++ b/src/beamloom/bench/scale_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of hollow nodes with its store and machine list, on the simulator's clock and network."""
+"""A fleet of nodes with a store and a list of machines, on the simulator's clock and network."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class HollowFleet:
-    """Builds the nodes and offers what happens to them."""
+    """Builds the nodes; starts, stops and crashes them and changes their backends."""
 
     def __init__(self, options: ScaleOptions) -> None:
         self.options = options
@@ -74,11 +74,11 @@
         self._machine_count = 0
 
     def random(self, *purpose: str) -> random.Random:
-        """Return a generator of the run's seed for a purpose."""
+        """Return a random generator derived from the seed for this purpose."""
         return random_stream(self.options.seed, "scale", *purpose)
 
     def build(self) -> None:
-        """Fill the store and start every node as in a fleet that has run for long."""
+        """Fill the store and start every node with the members and configuration of the fleet."""
         self._fill_store()
         state = self.stored_state()
         machines = [self.new_machine() for _ in range(self.options.nodes)]
@@ -99,7 +99,7 @@
             self.store.write(backend.key, backend.value, 0)
 
     def stored_state(self) -> ConfigurationState:
-        """Return what a node has that has applied the whole store."""
+        """Return the configuration state of a node that has applied the whole store."""
         state = ConfigurationState()
         listing = self.store.list_objects()
         state.apply(state.difference(listing.revision, listing.objects))
@@ -108,7 +108,7 @@
     # -- nodes ---------------------------------------------------------------------------------
 
     def new_machine(self) -> Machine:
-        """Return a machine that was not there before."""
+        """Return a new machine."""
         machine = machine_of(self._machine_count, self.zones)
         self._machine_count += 1
         return machine
@@ -136,33 +136,33 @@
         return node
 
     def start_node(self) -> HollowNode:
-        """Start one more node, which joins through a few of the running ones."""
+        """Start another node, which joins through the first SEED_COUNT running nodes."""
         machine = self.new_machine()
         running = self.running()
         seeds = [node.machine.control_address for node in running[:SEED_COUNT]]
         return self._new_node(self._new_core(machine, tuple(seeds)), machine)
 
     def stop_node(self, name: NodeId) -> None:
-        """Begin a planned stop."""
+        """Start a planned stop of a node."""
         self.ended[name] = self.clock.now
         self.store.machines.leave(name, self.clock.now)
         self.nodes[name].request_stop()
 
     def crash_nodes(self, names: Sequence[NodeId]) -> None:
-        """Let nodes end at once, without a word."""
+        """Crash nodes without notice to the others."""
         for name in names:
             self.ended[name] = self.clock.now
             self.nodes[name].crash()
         self.crashes.crashed(list(names))
 
     def running(self) -> list[HollowNode]:
-        """Return the nodes that run and were not told to stop, oldest first."""
+        """Return the running nodes that were not requested to stop, oldest first."""
         return [node for node in self.nodes.values() if node.host.running and not node.leaving]
 
     # -- the platform --------------------------------------------------------------------------
 
     def change_backend(self) -> None:
-        """Let an operator's write to one backend be accepted now."""
+        """Write a change of one backend to the store and record which nodes should apply it."""
         backend = self.backends[self._changes_made * 97 % len(self.backends)]
         self._changes_made += 1
         current = self.store.read(backend.key).found
--- a/src/beamloom/bench/scale_nodes.py
+++ b/src/beamloom/bench/scale_nodes.py
@@ -1,4 +1,4 @@
-"""Hollow nodes: whole cores on the simulator's clock and network, with meters round their calls."""
+"""Nodes with real cores on the simulator's clock and network, whose calls are timed."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from beamloom.simulation.node_adapter import SimulatedNode
 
 UDP_AND_IP_HEADER = 28
-"""Bytes that each datagram costs besides its payload, as the control budget counts them."""
+"""Bytes of the headers of a datagram, which the control budget includes."""
 NANOSECONDS = 1_000_000_000
 ESTABLISHED_SECONDS = 3_600.0
 
 
 @dataclass(slots=True)
 class NodeMeter:
-    """What one node has spent since the last reset; bytes include UDP and IP headers."""
+    """Processor time and traffic of a node since the last reset, with UDP and IP headers."""
 
     control_ns: int = 0
     packet_ns: int = 0
@@ -37,7 +37,7 @@
     received_by_second: Counter[int] = field(default_factory=Counter)
 
     def reset(self) -> None:
-        """Count anew from zero."""
+        """Set all counts to zero."""
         self.control_ns = self.packet_ns = self.packets = self.timers = 0
         self.sent_datagrams = self.received_datagrams = 0
         self.sent_by_second.clear()
@@ -54,7 +54,7 @@
 
     @property
     def revision_in_force(self) -> int:
-        """The core's revision in force."""
+        """The revision of the configuration that the core has in force."""
         return self.core.revision_in_force
 
     @property
@@ -64,17 +64,17 @@
 
     @property
     def has_commands(self) -> bool:
-        """Whether packets gave rise to commands."""
+        """Whether the core has commands from packets."""
         return self.core.has_commands
 
     def start(self, now: float) -> list[Command]:
-        """Begin."""
+        """Start the core."""
         return self.core.start(now)
 
     def packet_received(
         self, data: bytes, source: SocketAddress, from_peer: bool, now: float
     ) -> SocketAddress | None:
-        """Take a packet; its time counts as that of packets."""
+        """Pass a packet to the core; the time counts as packet time."""
         before = time.thread_time_ns()
         address = self.core.packet_received(data, source, from_peer, now)
         self.meter.packet_ns += time.thread_time_ns() - before
@@ -82,14 +82,14 @@
         return address
 
     def take_commands(self, now: float) -> list[Command]:
-        """Return the commands that packets gave rise to; its time counts as control."""
+        """Return the commands from packets; the time counts as control time."""
         before = time.thread_time_ns()
         commands = self.core.take_commands(now)
         self.meter.control_ns += time.thread_time_ns() - before
         return self._note_sent(commands, now)
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take an event; its time counts as control."""
+        """Pass an event to the core; the time counts as control time."""
         if isinstance(event, ControlDatagramReceived):
             self.meter.received_datagrams += 1
             size = len(event.data) + UDP_AND_IP_HEADER
@@ -102,11 +102,11 @@
         return self._note_sent(commands, now)
 
     def next_timer(self) -> float | None:
-        """Return when the core wants its timer; its time counts as control."""
+        """Return when the core needs its timer; the time counts as control time."""
         before = time.thread_time_ns()
-        wanted = self.core.next_timer()
+        due = self.core.next_timer()
         self.meter.control_ns += time.thread_time_ns() - before
-        return wanted
+        return due
 
     def _note_sent(self, commands: list[Command], now: float) -> list[Command]:
         for command in commands:
@@ -119,16 +119,16 @@
 
 
 class HollowNode(SimulatedNode):
-    """A simulated node that is handed the packets of its share of flows without a network."""
+    """A simulated node that receives data packets by direct calls instead of the network."""
 
     core: MeteredCore
 
     def handle_timer(self) -> None:
-        """Let the core do what is due and arm its timer."""
+        """Run the due work of the core and set its timer."""
         self.handle(TimerExpired())
 
     def take_packet(self, data: bytes, source: SocketAddress, *, from_peer: bool) -> None:
-        """Take a packet from another node or from the fabric."""
+        """Pass a packet from another node or the fabric to the core; ignored unless running."""
         if self.stopped or not self.host.running:
             return
         now = self.local_clock.now
@@ -140,9 +140,9 @@
 def start_established(
     core: NodeCore, members: Iterable[Machine], state: ConfigurationState, now: float
 ) -> None:
-    """Bring a started core to where it would be in a fleet that has run for long.
+    """Give a core the state of a fleet that has run for a long time.
 
-    It is told of all members as alive, has the configuration, and owns its partitions.
+    All members are alive, the configuration is loaded and the core owns its partitions.
     """
     own = core.options.machine.node_id
     updates = [
@@ -153,7 +153,7 @@
     for first in range(0, len(updates), MAXIMUM_UPDATES):
         page = StatePage("", "", updates[first : first + MAXIMUM_UPDATES])
         core.membership.handle_message(own, page, now)
-    # No message brings a whole fleet up at once, so two private fields are set here.
+    # No message sets this state at once, so two private fields are used.
     core.replica._applied.load(_copied(state))
     core.replica.accept_listing(state.revision, (), now)
     core.forwarder.ownership._started_at = now - ESTABLISHED_SECONDS
@@ -161,7 +161,7 @@
 
 
 def _copied(state: ConfigurationState) -> ConfigurationState:
-    """Return a state of its own over the same objects, which never change."""
+    """Return a shallow copy; the objects are shared, as they never change."""
     copied = ConfigurationState()
     copied.revision = state.revision
     copied.objects = dict(state.objects)
--- a/src/beamloom/bench/scale_observations.py
+++ b/src/beamloom/bench/scale_observations.py
@@ -1,4 +1,4 @@
-"""What a scale run observes: when changes came into force and when crashes were noticed."""
+"""Measures when changes came into force and when crashes were detected in a scale run."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from beamloom.simulation.clock import VirtualClock
 from beamloom.simulation.measurements import Measurements
 
-LOOK_SECONDS = 0.25
+POLL_SECONDS = 0.25
 
 
 class LeanMeasurements(Measurements):
-    """Notes only revisions in force: hashing each command of hundreds of nodes would dominate."""
+    """Records only revisions in force: hashing every command of all nodes would take most time."""
 
     def command(self, node: str, command: Command) -> None:
-        """Note nothing."""
+        """Record nothing."""
 
     def packet_sent(self, node: str, destination: SocketAddress, data: bytes) -> None:
-        """Note nothing."""
+        """Record nothing."""
 
     def control_sent(self, node: str, size: int) -> None:
-        """Note nothing: the node's own meter counts bytes."""
+        """Record nothing: the meter of the node counts bytes."""
 
 
 @dataclass(slots=True)
 class AcceptedChange:
-    """A change that the store accepted, and the nodes that were running then."""
+    """A change that the store accepted, and the nodes that were ready at the time."""
 
     revision: int
     time: float
@@ -46,9 +46,9 @@
     def seconds_in_force(
         self, start: float, end: float, ended: dict[str, float]
     ) -> tuple[list[float], int]:
-        """Return the seconds until each node had each change, and how many never had one.
+        """Return the seconds until each node had each change in force, and the number missing.
 
-        Only changes accepted from `start` to before `end`; a node that ended is not expected.
+        Counts changes accepted from `start` and before `end`. Nodes that ended are not missing.
         """
         by_node: dict[str, list[tuple[int, float]]] = {}
         for item in self.measurements.in_force:
@@ -72,7 +72,7 @@
 
 
 class CrashObserver:
-    """Looks at every node's member list until each has noticed each crash."""
+    """Polls the member list of every node until all have detected each crash."""
 
     def __init__(self, clock: VirtualClock, nodes: dict[NodeId, HollowNode]) -> None:
         self.seconds: list[float] = []
@@ -81,16 +81,16 @@
         self._pending: dict[NodeId, tuple[float, set[NodeId]]] = {}
 
     def crashed(self, names: list[NodeId]) -> None:
-        """Begin to watch for the notice of these crashes."""
+        """Start to poll for the detection of these crashes."""
         if not self._pending:
-            self._clock.call_later(LOOK_SECONDS, self._look)
+            self._clock.call_later(POLL_SECONDS, self._poll)
         running = {name for name, node in self._nodes.items() if node.host.running}
         for name in names:
             self._pending[name] = (self._clock.now, running - set(names))
 
     @property
     def unnoticed(self) -> int:
-        """How many (crash, running node) pairs have not been noticed."""
+        """The number of pairs of a crash and a running node that has not detected it."""
         self._forget_ended()
         return sum(len(waiting) for _, waiting in self._pending.values())
 
@@ -98,7 +98,7 @@
         for _, waiting in self._pending.values():
             waiting -= {name for name in waiting if not self._nodes[name].host.running}
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         self._forget_ended()
         now = self._clock.now
         for crashed, (time, waiting) in list(self._pending.items()):
@@ -110,4 +110,4 @@
             if not waiting:
                 del self._pending[crashed]
         if self._pending:
-            self._clock.call_later(LOOK_SECONDS, self._look)
+            self._clock.call_later(POLL_SECONDS, self._poll)
--- a/src/beamloom/bench/scale_options.py
+++ b/src/beamloom/bench/scale_options.py
@@ -1,4 +1,4 @@
-"""What a scale run consists of: sizes, rates, links and faults."""
+"""Options of the scale run."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 class ScaleOptions:
     """Options of one run; times are virtual seconds, shares are 0 to 1.
 
-    `flows_per_second` and `open_flows` are those of the whole fleet. A share `long_flow_share` of
-    new flows stays open beyond the run; the others last `short_flow_seconds` on average. Services
-    in `never_repeat_share` may not repeat a request. The first phase has the day's own rate of
-    changes, the second `compression` times that. `failures` adds a third phase.
+    `flows_per_second` and `open_flows` apply to the whole fleet. The share `long_flow_share` of new
+    flows is not closed; the others last `short_flow_seconds` on average. Requests to the share
+    `never_repeat_share` of services may not be repeated. The first phase has `changes_per_day`, the
+    second `compression` times as many. `failures` adds a third phase.
     """
 
     nodes: int = 560
--- a/src/beamloom/bench/scale_report.py
+++ b/src/beamloom/bench/scale_report.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """The middle, the 99th percentile and the largest of some values."""
+    """The median, the 99th percentile and the maximum of some values."""
 
     p50: float
     p99: float
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeFigures:
-    """What one node spent in a phase; rates are per second, bytes with UDP and IP headers."""
+    """Resource use of one node in a phase, per second, with UDP and IP headers."""
 
     node: str
     role: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleFigures:
-    """Figures of the nodes of one role; every node is a home and a backend watcher besides."""
+    """Figures of the nodes of one role; every node is also a home and a backend watcher."""
 
     role: str
     nodes: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PhaseFigures:
-    """One phase of a run."""
+    """Figures of one phase of a run."""
 
     phase: str
     seconds: float
@@ -78,7 +78,7 @@
 
 
 def spread(values: Sequence[float], digits: int = 3) -> Spread:
-    """Return the spread of values; zeros where there are none."""
+    """Return the spread of values, or zeros if there are none."""
     ordered = sorted(values) or [0.0]
     return Spread(*(round(_quantile(ordered, share), digits) for share in (0.5, 0.99, 1.0)))
 
@@ -88,7 +88,7 @@
 
 
 def role_of(node: HollowNode) -> str:
-    """Return the role that a node has besides those that every node has."""
+    """Return the role that a node has in addition to those of every node."""
     core = node.core.core
     if core.election.is_reader:
         return READER
@@ -98,7 +98,7 @@
 
 
 def node_figures(node: HollowNode, start: float, end: float) -> NodeFigures:
-    """Return what a node's meter says of the phase from `start` to `end`."""
+    """Return the figures of a node between `start` and `end` from its meter."""
     meter, seconds = node.core.meter, end - start
     sent = [meter.sent_by_second[second] for second in range(int(start), int(end))]
     received = [meter.received_by_second[second] for second in range(int(start), int(end))]
@@ -118,14 +118,14 @@
 
 
 def largest_window(by_second: Sequence[int]) -> float:
-    """Return the most bytes per second over any ten whole seconds in a row."""
+    """Return the highest average of bytes per second over WINDOW_SECONDS consecutive seconds."""
     width = min(WINDOW_SECONDS, len(by_second)) or 1
     sums = (sum(by_second[i : i + width]) for i in range(max(len(by_second) - width, 0) + 1))
     return max(sums) / width
 
 
 def role_figures(figures: Sequence[NodeFigures]) -> tuple[RoleFigures, ...]:
-    """Return the figures of each role that any node has."""
+    """Return the figures of each role that has a node."""
     roles = [role for role in (PLAIN, AGGREGATOR, READER) if any(f.role == role for f in figures)]
     return tuple(_role([item for item in figures if item.role == role]) for role in roles)
 
--- a/src/beamloom/bench/scale_samples.py
+++ b/src/beamloom/bench/scale_samples.py
@@ -1,4 +1,4 @@
-"""Samples of control datagrams: what the codec costs, and which messages fill them."""
+"""Samples control datagrams to measure the codec and the share of each message type."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CodecCost:
-    """Mean processor time of one datagram, in microseconds, signing and checking included."""
+    """Mean processor time of a datagram in microseconds, including its authentication."""
 
     encode_microseconds: float
     decode_microseconds: float
 
 
 class DatagramSamples:
-    """Keeps every `SAMPLE_EVERY`-th datagram of the fleet while it is switched on."""
+    """Stores every `SAMPLE_EVERY`-th datagram of the fleet while it is enabled."""
 
     def __init__(self, keys: KeyRing) -> None:
         self._keys = keys
@@ -33,18 +33,18 @@
         self.enabled = False
 
     def note(self, data: bytes) -> None:
-        """Count a datagram and perhaps keep it."""
+        """Count a datagram and store it if it is sampled."""
         self._count += 1
-        room = len(self._samples) < MAXIMUM_SAMPLES
-        if self.enabled and room and self._count % SAMPLE_EVERY == 0:
+        has_room = len(self._samples) < MAXIMUM_SAMPLES
+        if self.enabled and has_room and self._count % SAMPLE_EVERY == 0:
             self._samples.append(data)
 
     def clear(self) -> None:
-        """Forget what was kept."""
+        """Discard the samples."""
         self._samples.clear()
 
     def byte_shares(self) -> dict[str, float]:
-        """Return the share of the messages' bytes by type of message, largest first."""
+        """Return the share of bytes by message type, largest first."""
         sizes: Counter[str] = Counter()
         for envelope in self._decoded():
             for message in envelope.messages:
@@ -53,7 +53,7 @@
         return {name: round(size / total, 4) for name, size in sizes.most_common()}
 
     def codec_cost(self) -> CodecCost:
-        """Time the codec over the samples."""
+        """Measure the codec on the samples."""
         if not self._samples:
             return CodecCost(0.0, 0.0)
         before = time.thread_time()
--- a/src/beamloom/bench/scale_sharing.py
+++ b/src/beamloom/bench/scale_sharing.py
@@ -1,8 +1,7 @@
-"""Structures that hollow nodes share because they are pure functions of the same inputs.
+"""Shares structures between the nodes of a scale run that are pure functions of the same inputs.
 
-Partition maps, placement tables and the typed form of stored backends: each real node builds its
-own, so what sharing hides of processor time and memory is measured apart, on one core
-(`scale_single`).
+These are partition maps, placement tables and the typed form of stored backends. Real nodes build
+their own; `scale_single` measures the processor time and memory of that on one core.
 """
 
 from __future__ import annotations
@@ -23,28 +22,28 @@
 from beamloom.settings import configuration
 from beamloom.settings.stored_objects import read_backend
 
-KEPT_MAPS = 64
-MapName = tuple[tuple[NodeId, str], ...]
+MAXIMUM_MAPS = 64
+MapKey = tuple[tuple[NodeId, str], ...]
 
 
 class SharedPartitionMaps:
-    """Builds each partition map once; the newest one saves work, it never affects a result."""
+    """Builds each partition map once; the latest map saves work and does not affect the result."""
 
     def __init__(self) -> None:
-        self._maps: OrderedDict[MapName, PartitionMap] = OrderedDict()
+        self._maps: OrderedDict[MapKey, PartitionMap] = OrderedDict()
 
     def __call__(
         self, machines: Sequence[Machine], previous: PartitionMap | None = None
     ) -> PartitionMap:
         """Return the map of these machines."""
-        name = tuple(sorted((item.node_id, item.zone.name) for item in machines))
-        found = self._maps.get(name)
+        key = tuple(sorted((item.node_id, item.zone.name) for item in machines))
+        found = self._maps.get(key)
         if found is None:
             latest = next(reversed(self._maps.values()), None)
-            found = self._maps[name] = PartitionMap(machines, latest if name else None)
-            if len(self._maps) > KEPT_MAPS:
+            found = self._maps[key] = PartitionMap(machines, latest if key else None)
+            if len(self._maps) > MAXIMUM_MAPS:
                 self._maps.popitem(last=False)
-        self._maps.move_to_end(name)
+        self._maps.move_to_end(key)
         return found
 
 
@@ -66,7 +65,7 @@
 
 
 class SharedBackends:
-    """Reads each stored backend once; the stored objects are kept, so that ids stay theirs."""
+    """Reads each stored backend once; keeps the objects, so that their ids are not reused."""
 
     def __init__(self) -> None:
         self._backends: dict[int, tuple[StoredObject, Backend]] = {}
@@ -81,7 +80,7 @@
 
 @contextmanager
 def shared_structures() -> Iterator[None]:
-    """Let all cores of this process share maps and tables while the context lasts."""
+    """Share maps and tables between all cores of this process inside the context."""
     backends = SharedBackends()
     with (
         _replaced(ownership, "PartitionMap", SharedPartitionMaps()),
--- a/src/beamloom/bench/scale_single.py
+++ b/src/beamloom/bench/scale_single.py
@@ -1,6 +1,6 @@
-"""One real core without anything shared: what a node needs for itself at a given size.
+"""Measures one core that shares nothing: the memory and processor time of a real node.
 
-Memory by tracemalloc, in bytes that Python allocated; processor time in another pass without it.
+Memory is measured with tracemalloc. Processor time is measured in a separate pass without it.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 def measure_single_core(options: ScaleOptions) -> SingleCoreFigures:
-    """Measure one core at the size that the options name."""
+    """Measure one core with the fleet size of the options."""
     fleet = HollowFleet(options)
     fleet._fill_store()
     data = fleet.stored_state().encode()
@@ -80,16 +80,16 @@
 
 def _build_tables(core: NodeCore) -> None:
     for route in core.forwarder.routes.by_service_number.values():
-        route.current_table  # noqa: B018 - building is what is asked for
+        route.current_table  # noqa: B018 - builds the table
 
 
-def _enter_flows(core: NodeCore, count: int, chance: random.Random) -> None:
+def _add_flows(core: NodeCore, count: int, rng: random.Random) -> None:
     home = core.forwarder.home
     partitions = sorted(home.ownership.owned)
     routes = list(home.routes.by_service_number.values())
     for _ in range(count):
-        key = (chance.getrandbits(46) << 14) | chance.choice(partitions)
-        service = chance.choice(routes)
+        key = (rng.getrandbits(46) << 14) | rng.choice(partitions)
+        service = rng.choice(routes)
         home.enter(key, home.choose(key, service, 0.0), service, FlowFlag.PAYLOAD_SENT, 0.0)
 
 
@@ -106,7 +106,7 @@
         _build_tables(core)
         tables = _traced_mib()
         count = options.open_flows // options.nodes
-        _enter_flows(core, count, random_stream(options.seed, "single"))
+        _add_flows(core, count, random_stream(options.seed, "single"))
         flows = _traced_mib()
     finally:
         tracemalloc.stop()
--- a/src/beamloom/bench/scale_traffic.py
+++ b/src/beamloom/bench/scale_traffic.py
@@ -1,7 +1,8 @@
-"""Flows of a scale run: packets that open, carry and close them, handed to the flows' homes.
+"""Traffic of a scale run: packets that open flows, carry data and close flows.
 
-A home gets three packets of each flow, as other nodes relay them: the opening one, one with
-payload, and a reset that closes it. Packets that a node serves from its own table are left out.
+The home of a flow receives an opening packet, a packet with payload and, unless the flow stays
+open, a reset. Packets that a node serves from its own flow table
+are omitted.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class FlowFeed:
-    """Opens and closes flows at the modelled rate for as long as the run lasts."""
+    """Opens and closes flows at the rate of the options."""
 
     def __init__(
         self,
@@ -46,13 +47,13 @@
         nodes: dict[NodeId, HollowNode],
         options: ScaleOptions,
         hash_key: bytes,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.opened = 0
         self._clock = clock
         self._nodes = nodes
         self._options = options
-        self._random = chance
+        self._random = rng
         self._seed = flow_seed(hash_key, PROTOCOL_TCP)
         self._virtual_ips = [pack_address(service_address(i)) for i in range(options.services)]
         self._due: list[tuple[float, int, bytes, int, bytes, int]] = []
@@ -61,7 +62,7 @@
         self._carry = 0.0
 
     def start(self) -> None:
-        """Begin to feed."""
+        """Start the traffic."""
         self._clock.call_later(0.0, self._feed)
 
     def _feed(self) -> None:
@@ -78,14 +79,14 @@
         self._clock.call_later(FEED_SECONDS, self._feed)
 
     def _open(self) -> None:
-        draw = self._random
-        client, port = draw.randbytes(4), draw.randint(FIRST_PORT, LAST_PORT)
-        virtual_ip = draw.choice(self._virtual_ips)
+        rng = self._random
+        client, port = rng.randbytes(4), rng.randint(FIRST_PORT, LAST_PORT)
+        virtual_ip = rng.choice(self._virtual_ips)
         self.opened += 1
         self._send(client, port, virtual_ip, TCP_SYN)
         self._schedule(PAYLOAD_DELAY, client, port, virtual_ip, TCP_ACK)
-        if draw.random() >= self._options.long_flow_share:
-            delay = 2 * self._options.short_flow_seconds * draw.random() + PAYLOAD_DELAY
+        if rng.random() >= self._options.long_flow_share:
+            delay = 2 * self._options.short_flow_seconds * rng.random() + PAYLOAD_DELAY
             self._schedule(delay, client, port, virtual_ip, TCP_RST)
 
     def _schedule(
@@ -96,7 +97,7 @@
         heappush(self._due, entry)
 
     def _send(self, client: bytes, port: int, virtual_ip: bytes, flags: int) -> None:
-        """Let a random node relay a packet to the flow's home, as that node sees it."""
+        """Send a packet to the flow's home according to the view of a random node."""
         relay = self._nodes[self._random.choice(self._names)]
         ports = struct.pack("!HH", port, SERVICE_PORT)
         partition = partition_of(flow_key(client + virtual_ip + ports, self._seed))
@@ -112,11 +113,12 @@
 
 
 def fill_flow_tables(
-    nodes: Sequence[HollowNode], options: ScaleOptions, chance: random.Random, now: float
+    nodes: Sequence[HollowNode], options: ScaleOptions, rng: random.Random, now: float
 ) -> None:
-    """Enter the flows that are open already, at their homes, for services that may repeat.
+    """Add the initially open flows at their homes.
 
-    Flows of the other services are left out: their replicas would all be sent at once.
+    Flows of services with requests that may not be repeated are omitted, as all of their replicas
+    would be sent at once.
     """
     per_node = options.open_flows // max(options.nodes, 1)
     for node in nodes:
@@ -130,8 +132,8 @@
         if not partitions or not routes:
             continue
         for _ in range(per_node):
-            key = (chance.getrandbits(46) << 14) | chance.choice(partitions)
-            service = chance.choice(routes)
+            key = (rng.getrandbits(46) << 14) | rng.choice(partitions)
+            service = rng.choice(routes)
             number = service.current_table.first[slot_of(key)]
             choice = Choice(number, PlacementReason.BASE_GENERATION)
             home.enter(key, choice, service, FlowFlag.PAYLOAD_SENT, now)
--- a/tests/functional/test_scale_bench.py
+++ b/tests/functional/test_scale_bench.py
@@ -1,4 +1,4 @@
-"""A small scale run from end to end: the same seed, the same protocol; processor time unjudged."""
+"""A small scale run gives the same protocol figures for the same seed."""
 
 import unittest
 from dataclasses import replace
@@ -20,7 +20,7 @@
 
 
 def protocol_figures(phase: PhaseFigures) -> object:
-    """Return what must not depend on how fast this machine is."""
+    """Return the figures that must not depend on the speed of the machine."""
     roles = [replace(role, control_cpu_percent=role.sent_bytes_per_second) for role in phase.roles]
     return (
         roles,
