--- a/tools/dark_bound.py
+++ b/tools/dark_bound.py
@@ -9,7 +9,7 @@
 - The first packet sent after the outage is answered with the latency of its class, without
   queueing, however many clients return at once.
 - An answer within the objective earns the full worth, one within the deadline the late worth. Both
-  times count from the first attempt.
+  times count from the first attempt. A request that the outage does not delay earns the full worth.
 
 `mean_reach_seconds` models the return of the machines. Each returns independently at a time
 uniform within the spread, then waits a time uniform within one period of the routers' readiness
@@ -140,10 +140,9 @@
 def implied_outage_end(
     seen: float, bound_at: Callable[[float], float], earliest: float, latest: float
 ) -> float | None:
-    """Return the end of the outage that explains the earned share `seen`; None if after `latest`.
+    """Return the end of the outage at which the bound equals `seen`; None if it is after `latest`.
 
-    `bound_at` returns the share that can be earned for an end of the outage; it must not increase
-    with that time.
+    `bound_at` returns the bound for an end of the outage; it must not increase with that time.
     """
     if bound_at(latest) > seen:
         return None
--- a/tools/day_bound.py
+++ b/tools/day_bound.py
@@ -48,32 +48,32 @@
 def describe(day: ClosingDay, spread_seconds: float) -> str:
     """Return the text that is printed for a day."""
     returned_at = day.began_at + day.down_seconds
-    at_once = tuple(request._replace(latency_seconds=0.0) for request in day.classes)
+    without_latency = tuple(request._replace(latency_seconds=0.0) for request in day.classes)
     bound = Outage(day.began_at, returned_at)
-    wait = mean_reach_seconds(day.machines_of_a_zone, spread_seconds)
+    wait = mean_reach_seconds(day.machines_per_zone, spread_seconds)
     estimate = Outage(day.began_at, returned_at + wait)
     lines = [
         f"{day.kind} at {day.began_at:.3f} s for {day.down_seconds:g} s; estimate: reached again "
-        f"{wait:.2f} s later ({day.machines_of_a_zone} machines a zone, back within "
+        f"{wait:.2f} s later ({day.machines_per_zone} machines a zone, back within "
         f"{spread_seconds:g} s)",
         f"{'window':>8} {'seen':>7} {'bound':>7} {'estimate':>9}",
     ]
     for window in day.windows:
         if overlaps(window, estimate):
             shares = (
-                window_bound(window, at_once, bound),
+                window_bound(window, without_latency, bound),
                 window_bound(window, day.classes, estimate),
             )
             lines.append(
                 f"{window.begins_at:8g} {window.earned:7.3f} {shares[0]:7.3f} {shares[1]:9.3f}"
             )
     seen = mean_of_worst_two(window.earned for window in day.windows)
-    highest = worst_windows(day, at_once, bound)
-    likely = worst_windows(day, day.classes, estimate)
+    highest = worst_windows(day, without_latency, bound)
+    estimated = worst_windows(day, day.classes, estimate)
     lines += [
-        f"{'worst 2':>8} {seen:7.3f} {highest:7.3f} {likely:9.3f}",
-        f"distance to the bound {highest - seen:.3f}, to the estimate {likely - seen:+.3f}",
-        _describe_reach(day),
+        f"{'worst 2':>8} {seen:7.3f} {highest:7.3f} {estimated:9.3f}",
+        f"distance to the bound {highest - seen:.3f}, to the estimate {estimated - seen:+.3f}",
+        _describe_implied_outage(day),
         INEXACT_INPUTS,
     ]
     if seen > highest + ROUNDING:
@@ -81,7 +81,7 @@
     return "\n".join(lines)
 
 
-def _describe_reach(day: ClosingDay) -> str:
+def _describe_implied_outage(day: ClosingDay) -> str:
     """Describe the outage length that alone would explain the measured shares."""
     returned_at = day.began_at + day.down_seconds
     longest = Outage(day.began_at, max(window.ends_at for window in day.windows))
@@ -98,9 +98,7 @@
     if ends_at is None:
         return "seen is worse than an outage to the end of the day: there was another cause"
     after = ends_at - returned_at
-    return (
-        f"seen is as if all callers were reached again {after:+.2f} s after the end of the outage"
-    )
+    return f"seen is as if callers were reached again {after:+.2f} s after the earliest return"
 
 
 def main() -> int:
--- a/tools/day_report.py
+++ b/tools/day_report.py
@@ -34,7 +34,7 @@
     kind: str
     began_at: float
     down_seconds: float
-    machines_of_a_zone: int
+    machines_per_zone: int
     windows: tuple[Window, ...]
     classes: tuple[RequestClass, ...]
 
@@ -60,7 +60,7 @@
         kind=" ".join(filter(None, (closing["kind"], closing.get("how")))),
         began_at=float(event["at_s"]),
         down_seconds=float(closing["down_s"]),
-        machines_of_a_zone=max(1, measured["machines"] // len(measured["zones"])),
+        machines_per_zone=max(1, measured["machines"] // len(measured["zones"])),
         windows=_windows(measured["windows"]),
         classes=_classes(planned.get("classes", plan["classes"]), measured["classes"], objectives),
     )
