--- a/src/beamloom/object_api/__init__.py
+++ b/src/beamloom/object_api/__init__.py
@@ -1,1 +1,1 @@
-"""The client of the platform's object API."""
+"""Client of the platform's object API."""
--- a/src/beamloom/object_api/adapter.py
+++ b/src/beamloom/object_api/adapter.py
@@ -1,4 +1,4 @@
-"""Carries out the core's store commands with a client and answers each with an event."""
+"""Executes the core's store commands with a client and delivers the results as events."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 
 
 class StoreAdapter:
-    """Runs one task per command or watch; `deliver` gets each answering event.
+    """Runs one task per command or watch; `deliver` is called with each resulting event.
 
-    After `StopWatch` or `close` no event of the ended tasks is delivered any more.
+    Once `StopWatch` or `close` has cancelled a task, no further event of it is delivered.
     """
 
     def __init__(self, client: ObjectClient, deliver: Callable[[Event], None]) -> None:
@@ -43,11 +43,14 @@
 
     @property
     def open_requests(self) -> int:
-        """How many commands and watches are under way."""
+        """The number of commands and watches in progress."""
         return len(self._tasks)
 
     def execute(self, command: Command) -> bool:
-        """Start a store command; false where the command is not for the store."""
+        """Start or stop a store request; return False if the command is not for the store.
+
+        A request in progress with the same id is cancelled.
+        """
         if isinstance(command, StopWatch):
             self._cancel(command.request_id)
             return True
@@ -61,7 +64,7 @@
         return True
 
     async def close(self) -> None:
-        """End every task and wait until all have ended."""
+        """Cancel every task and wait until all have ended."""
         tasks = tuple(self._unfinished)
         self._tasks.clear()
         for task in tasks:
@@ -79,18 +82,22 @@
             if isinstance(command, WatchStore):
                 await self._watch(command)
             else:
-                self._answer(command.request_id, await self._event(command))
+                self._deliver_if_active(command.request_id, await self._perform_request(command))
         except PlatformError as error:
             gone = isinstance(error, WatchGoneError)
-            self._answer(command.request_id, StoreFailed(command.request_id, str(error), gone))
+            self._deliver_if_active(
+                command.request_id, StoreFailed(command.request_id, str(error), gone)
+            )
         except Exception as error:
-            self._report(error)
-            self._answer(command.request_id, StoreFailed(command.request_id, repr(error)))
+            self._report_unexpected(error)
+            self._deliver_if_active(
+                command.request_id, StoreFailed(command.request_id, repr(error))
+            )
         finally:
             if self._tasks.get(command.request_id) is task:
                 del self._tasks[command.request_id]
 
-    async def _event(self, command: ListStore | ReadObject | WriteObject) -> Event:
+    async def _perform_request(self, command: ListStore | ReadObject | WriteObject) -> Event:
         request_id = command.request_id
         if isinstance(command, ListStore):
             listing = await self._client.list_objects()
@@ -110,13 +117,13 @@
         async with aclosing(self._client.watch(command.revision)) as batches:
             async for batch in batches:
                 event = StoreChanged(command.request_id, batch.revision, batch.changes)
-                self._answer(command.request_id, event)
+                self._deliver_if_active(command.request_id, event)
 
-    def _report(self, error: Exception) -> None:
-        """Hand a fault of this program to the loop's exception handler."""
+    def _report_unexpected(self, error: Exception) -> None:
+        """Pass an exception that is not a PlatformError to the event loop's exception handler."""
         context = {"message": "a store request failed unexpectedly", "exception": error}
         asyncio.get_running_loop().call_exception_handler(context)
 
-    def _answer(self, request_id: int, event: Event) -> None:
+    def _deliver_if_active(self, request_id: int, event: Event) -> None:
         if self._tasks.get(request_id) is asyncio.current_task():
             self._deliver(event)
--- a/src/beamloom/object_api/client.py
+++ b/src/beamloom/object_api/client.py
@@ -1,7 +1,8 @@
 """Client of the platform's HTTP/JSON object API.
 
-Reads are retried. A write is retried only where it was certainly not run (no connection, status
-429 or 503); once it may have been run, OutcomeUnknownError leaves the answer to a read-back.
+Reads are retried. A write is retried only if it was certainly not executed (no connection, status
+429 or 503). After a lost response or another 5xx it may have been executed: OutcomeUnknownError is
+raised, and the caller must read the object to find out.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 
 class PlatformClient:
-    """Asynchronous client; use it as a context manager or call `start` and `close`."""
+    """Asynchronous client; use it as an async context manager or call `start` and `close`."""
 
     def __init__(self, options: PlatformOptions, retrier: Retrier) -> None:
         self._options = options
@@ -62,110 +63,116 @@
         await self.close()
 
     async def start(self) -> None:
-        """Open the session; no request is sent yet. Raises TlsConfigurationError."""
+        """Open the session without sending a request; raises TlsConfigurationError."""
         self._session = open_session(self._options)
 
     async def close(self) -> None:
-        """Close every connection; closing twice is harmless."""
+        """Close every connection; further calls have no effect."""
         session, self._session = self._session, None
         if session is not None:
             await session.close()
 
     async def list_objects(self, prefix: str = "") -> wire.ObjectListing:
         """Return every object whose key starts with `prefix`."""
-        body = await self._read(wire.OBJECTS_PATH, {"prefix": prefix})
+        body = await self._get(wire.OBJECTS_PATH, {"prefix": prefix})
         return wire.decode(wire.listing_from_json, body)
 
     async def read(self, key: str) -> wire.ObjectReading:
-        """Return one object and the store's revision; `found` is None where there is none."""
-        body = await self._read(_object_path(key))
+        """Return one object and the store's revision; `found` is None if it does not exist."""
+        body = await self._get(_object_path(key))
         return wire.decode(wire.reading_from_json, body)
 
     async def write(self, key: str, value: dict[str, Any] | None, expected_revision: int) -> int:
-        """Write (`value` None: delete) if the revision is as expected; return the new revision.
+        """Write an object if its revision is `expected_revision`; return the new revision.
 
-        `expected_revision` 0 means: the object must not exist. Raises StoreConflictError,
-        OutcomeUnknownError, StoreUnavailableError and the other PlatformErrors.
+        A `value` of None deletes the object. An `expected_revision` of 0 requires that the object
+        does not exist. Raises StoreConflictError, OutcomeUnknownError, StoreUnavailableError and
+        the other PlatformErrors.
         """
         method = "DELETE" if value is None else "PUT"
         headers = {"If-Match": f'"{expected_revision}"'}
         path = _object_path(key)
-        body = await self._retrying(
-            lambda: self._exchange(method, path, headers=headers, body=value), WRITE_RETRY_ERRORS
+        body = await self._retry(
+            lambda: self._request(method, path, headers=headers, body=value), WRITE_RETRY_ERRORS
         )
         return wire.decode(wire.revision_from_json, body)
 
     async def watch(
         self, revision: int, prefix: str = ""
     ) -> AsyncGenerator[wire.ChangeBatch, None]:
-        """Yield the changes after `revision`, each once and in order, across disconnections.
+        """Yield the changes after `revision`, each once and in order, reconnecting as needed.
 
-        The first batch brings everything up to now; empty batches show that the watch lives.
-        Raises WatchGoneError (list anew), and StoreUnavailableError or TooManyReadersError once
-        the retries since the last batch are used up. Close the iterator with `aclosing`.
+        The first batch contains all changes up to now; empty batches are keepalives. Raises
+        WatchGoneError if the objects must be listed again, and StoreUnavailableError or
+        TooManyReadersError once the retries since the last batch are used up. Close the iterator
+        with `aclosing`.
         """
-        pauses = self._retrier.pauses()
+        delays = self._retrier.delays()
         while True:
             failure: StoreUnavailableError | TooManyReadersError
             try:
                 async with aclosing(self._watch_once(revision, prefix)) as batches:
                     async for batch in batches:
                         revision = batch.revision
-                        pauses = self._retrier.pauses()
+                        delays = self._retrier.delays()
                         yield batch
                 failure = StoreUnavailableError("the platform ended the watch")
             except OutcomeUnknownError as error:
-                failure = StoreUnavailableError(f"the watch broke: {error.__cause__!r}")
+                failure = StoreUnavailableError(f"the watch was interrupted: {error.__cause__!r}")
             except (StoreUnavailableError, TooManyReadersError) as error:
                 failure = error
-            pause = next(pauses, None)
-            if pause is None:
+            delay = next(delays, None)
+            if delay is None:
                 raise failure
-            await self._retrier.pause(_at_least_retry_after(pause, failure))
+            await self._retrier.wait(_at_least_retry_after(delay, failure))
 
     async def list_machines(self) -> wire.MachineListing:
-        """Return the platform's lagging list of machines."""
-        body = await self._read(wire.MACHINES_PATH)
+        """Return the platform's list of machines, which may be out of date."""
+        body = await self._get(wire.MACHINES_PATH)
         return wire.decode(wire.machines_from_json, body)
 
     async def register_machine(self, machine: Machine) -> None:
-        """Enter a machine into the platform's list."""
-        await self._report({"action": "register", "machine": wire.machine_to_json(machine)})
+        """Add a machine to the platform's list."""
+        await self._post_report({"action": "register", "machine": wire.machine_to_json(machine)})
 
     async def heartbeat_machine(self, node_id: NodeId) -> None:
-        """Tell that a machine lives; raises MachineNotRegisteredError where it must register."""
-        await self._report({"action": "heartbeat", "node_id": node_id})
+        """Report that a machine is alive; raises MachineNotRegisteredError if it is not listed."""
+        await self._post_report({"action": "heartbeat", "node_id": node_id})
 
     async def leave_machine(self, node_id: NodeId) -> None:
-        """Tell that a machine is leaving; raises MachineNotRegisteredError."""
-        await self._report({"action": "leave", "node_id": node_id})
+        """Report that a machine leaves; raises MachineNotRegisteredError if it is not listed."""
+        await self._post_report({"action": "leave", "node_id": node_id})
 
-    async def _report(self, body: wire.JsonObject) -> None:
-        # Repeating a report changes nothing, so a lost answer is retried like a read.
-        answer = await self._reading(lambda: self._exchange("POST", wire.MACHINES_PATH, body=body))
-        if not answer.get("known", True):
+    async def _post_report(self, body: wire.JsonObject) -> None:
+        # Reports are idempotent, so they are retried like reads after a lost response.
+        response = await self._retry_read(
+            lambda: self._request("POST", wire.MACHINES_PATH, body=body)
+        )
+        if not response.get("known", True):
             raise MachineNotRegisteredError(str(body.get("node_id")))
 
-    async def _read(self, path: str, parameters: dict[str, str] | None = None) -> wire.JsonObject:
-        return await self._reading(lambda: self._exchange("GET", path, parameters=parameters))
+    async def _get(self, path: str, parameters: dict[str, str] | None = None) -> wire.JsonObject:
+        return await self._retry_read(lambda: self._request("GET", path, parameters=parameters))
 
-    async def _reading(self, attempt: Callable[[], Awaitable[wire.JsonObject]]) -> wire.JsonObject:
+    async def _retry_read(
+        self, attempt: Callable[[], Awaitable[wire.JsonObject]]
+    ) -> wire.JsonObject:
         try:
-            return await self._retrying(attempt, READ_RETRY_ERRORS)
+            return await self._retry(attempt, READ_RETRY_ERRORS)
         except OutcomeUnknownError as error:
-            raise StoreUnavailableError(f"no answer: {error.__cause__!r}") from error
+            raise StoreUnavailableError(f"no response: {error.__cause__!r}") from error
 
-    async def _retrying(
+    async def _retry(
         self, attempt: Callable[[], Awaitable[Result]], errors: tuple[type[PlatformError], ...]
     ) -> Result:
-        for pause in self._retrier.pauses():
+        for delay in self._retrier.delays():
             try:
                 return await attempt()
             except errors as error:
-                await self._retrier.pause(_at_least_retry_after(pause, error))
+                await self._retrier.wait(_at_least_retry_after(delay, error))
         return await attempt()
 
-    async def _exchange(
+    async def _request(
         self,
         method: str,
         path: str,
@@ -176,7 +183,7 @@
     ) -> wire.JsonObject:
         timeout = aiohttp.ClientTimeout(total=self._options.request_timeout_seconds)
         try:
-            async with self._open_session().request(
+            async with self._require_session().request(
                 method,
                 self._url + path,
                 params=parameters,
@@ -184,18 +191,18 @@
                 json=body,
                 timeout=timeout,
             ) as response:
-                return await self._checked_body(response, path)
+                return await self._parse_response(response, path)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise OutcomeUnknownError(f"{method} {path}: {error!r}") from error
 
-    async def _checked_body(self, response: aiohttp.ClientResponse, path: str) -> wire.JsonObject:
+    async def _parse_response(self, response: aiohttp.ClientResponse, path: str) -> wire.JsonObject:
         text = await response.text()
         try:
             body = json.loads(text)
         except ValueError:
             body = None
         if response.status == HttpStatus.CONFLICT and isinstance(body, dict):
-            raise _conflict(body)
+            raise _conflict_error(body)
         if response.status != HttpStatus.OK:
             raise error_for_status(response.status, response.headers, text)
         if not isinstance(body, dict):
@@ -212,7 +219,7 @@
         )
         parameters = {"revision": str(revision), "prefix": prefix}
         try:
-            async with self._open_session().get(
+            async with self._require_session().get(
                 self._url + wire.WATCH_PATH, params=parameters, timeout=timeout
             ) as response:
                 if response.status == HttpStatus.GONE:
@@ -220,12 +227,12 @@
                 if response.status != HttpStatus.OK:
                     text = await response.text()
                     raise error_for_status(response.status, response.headers, text)
-                async for line in _whole_lines(response.content):
-                    yield wire.decode(wire.batch_from_json, _json_line(line))
+                async for line in _complete_lines(response.content):
+                    yield wire.decode(wire.batch_from_json, _parse_json_line(line))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise OutcomeUnknownError(f"watch: {error!r}") from error
 
-    def _open_session(self) -> aiohttp.ClientSession:
+    def _require_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             raise StoreUnavailableError("the client is not started; call start() first")
         return self._session
@@ -235,17 +242,17 @@
     return f"{wire.OBJECTS_PATH}/{quote(key)}"
 
 
-def _conflict(body: wire.JsonObject) -> StoreConflictError:
+def _conflict_error(body: wire.JsonObject) -> StoreConflictError:
     current = wire.decode(lambda answer: wire.optional_object_from_json(answer["current"]), body)
     return StoreConflictError(str(body.get("key")), current)
 
 
-def _at_least_retry_after(pause: float, error: PlatformError) -> float:
-    return max(pause, error.retry_after) if isinstance(error, TooManyReadersError) else pause
+def _at_least_retry_after(delay: float, error: PlatformError) -> float:
+    return max(delay, error.retry_after) if isinstance(error, TooManyReadersError) else delay
 
 
-async def _whole_lines(content: aiohttp.StreamReader) -> AsyncGenerator[bytes, None]:
-    """Yield lines of any length; a last line without its end was cut off and is dropped."""
+async def _complete_lines(content: aiohttp.StreamReader) -> AsyncGenerator[bytes, None]:
+    """Yield lines of any length; a last line without a newline is incomplete and dropped."""
     pending = b""
     async for chunk in content.iter_any():
         *lines, pending = (pending + chunk).split(b"\n")
@@ -253,7 +260,7 @@
             yield line
 
 
-def _json_line(line: bytes) -> object:
+def _parse_json_line(line: bytes) -> object:
     try:
         return json.loads(line)
     except ValueError as error:
--- a/src/beamloom/object_api/differences.py
+++ b/src/beamloom/object_api/differences.py
@@ -1,4 +1,4 @@
-"""What changed between two values of an object, and the error that tells a losing operator."""
+"""Differences between two values of an object, and the edit conflict that lists them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldDifference:
-    """One field whose value differs; `old` or `new` is None where the field is absent."""
+    """A field whose value differs; `old` or `new` is None if the field is absent there."""
 
     name: str
     old: object
@@ -27,7 +27,7 @@
 def differences(
     old: dict[str, Any] | None, new: dict[str, Any] | None, prefix: str = ""
 ) -> tuple[FieldDifference, ...]:
-    """Compare two values field by field, nested ones by dotted names; operation ids don't count."""
+    """Compare two values by field, ignoring operation ids; nested fields have dotted names."""
     old, new = old or {}, new or {}
     found: list[FieldDifference] = []
     for name in sorted(old.keys() | new.keys()):
@@ -42,7 +42,7 @@
 
 
 def operation_of(stored: StoredObject | None) -> str | None:
-    """Return the operation id of an object's last write; None when it is deleted or has none."""
+    """Return the operation id of an object's last write; None if it has none or is deleted."""
     if stored is None or stored.value is None:
         return None
     operation = stored.value.get(OPERATION_FIELD)
@@ -50,7 +50,7 @@
 
 
 class EditConflictError(PlatformError):
-    """Another writer was first; this write was not run and never will be."""
+    """Another writer changed the object first; this write did not and will not take effect."""
 
     def __init__(self, key: str, base: StoredObject | None, current: StoredObject | None) -> None:
         self.key = key
--- a/src/beamloom/object_api/object_client.py
+++ b/src/beamloom/object_api/object_client.py
@@ -1,4 +1,4 @@
-"""What the adapter and the operators' writer need of a client."""
+"""Interface of the client that StoreAdapter and OperatorWriter use."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ObjectClient(Protocol):
-    """The platform's objects; `PlatformClient` says what each method raises."""
+    """Access to the platform's objects; see `PlatformClient` for what each method raises."""
 
     async def list_objects(self, prefix: str = "") -> ObjectListing:
         """Return every object under `prefix`."""
--- a/src/beamloom/object_api/options.py
+++ b/src/beamloom/object_api/options.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """PEM files: the authority that signed the platform, and the client's own certificate."""
+    """PEM files: the authority that signs the platform's certificate, and the client's own pair."""
 
     authority: Path | None = None
     certificate: Path | None = None
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformOptions:
-    """Where the platform is and how patient the client is; times are in seconds.
+    """The platform's URL, and the credentials, timeouts and retries of the client.
 
     `watch_silence_seconds` must exceed the interval at which the platform sends empty batches.
     """
@@ -35,9 +35,9 @@
 
 
 def client_tls_context(files: TlsFiles | None) -> ssl.SSLContext | None:
-    """Return the context for the configured files; raises TlsConfigurationError.
+    """Return the SSL context for the configured files; raises TlsConfigurationError.
 
-    None without files: an https URL is then checked against the system's authorities.
+    Without files the result is None, and https connections use the system's authorities.
     """
     if files is None:
         return None
--- a/src/beamloom/object_api/retry.py
+++ b/src/beamloom/object_api/retry.py
@@ -12,9 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """At most `attempts` tries; pauses are drawn from 0 to `base` doubled per try, up to `cap`.
+    """At most `attempts` attempts, with a random delay before each retry.
 
-    Times are in seconds.
+    Each delay is drawn from 0 to a limit that starts at `base_seconds` and doubles per retry, up to
+    `cap_seconds`.
     """
 
     attempts: int = 4
@@ -23,19 +24,19 @@
 
 
 class Retrier:
-    """Draws the pauses between tries; `random` and `sleep` are handed in."""
+    """Draws the delays between attempts and waits for them."""
 
-    def __init__(self, policy: RetryPolicy, random: Random, sleep: Sleep = asyncio.sleep) -> None:
+    def __init__(self, policy: RetryPolicy, rng: Random, sleep: Sleep = asyncio.sleep) -> None:
         self.policy = policy
-        self._random = random
+        self._rng = rng
         self._sleep = sleep
 
-    def pauses(self) -> Iterator[float]:
-        """Yield the pause before each further try; one fewer than the tries allowed."""
+    def delays(self) -> Iterator[float]:
+        """Yield the delay before each retry: one fewer than the attempts of the policy."""
         for attempt in range(self.policy.attempts - 1):
             ceiling = min(self.policy.cap_seconds, self.policy.base_seconds * 2**attempt)
-            yield self._random.uniform(0.0, ceiling)
+            yield self._rng.uniform(0.0, ceiling)
 
-    async def pause(self, seconds: float) -> None:
-        """Wait before the next try."""
+    async def wait(self, seconds: float) -> None:
+        """Wait before the next attempt."""
         await self._sleep(seconds)
--- a/src/beamloom/object_api/statuses.py
+++ b/src/beamloom/object_api/statuses.py
@@ -1,4 +1,4 @@
-"""HTTP statuses of the platform's API (RFC 9110, RFC 6585) and the errors that they stand for."""
+"""HTTP statuses of the platform's API (RFC 9110, RFC 6585) and the errors for them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 def error_for_status(status: int, headers: Mapping[str, str], text: str) -> PlatformError:
     """Return the error for a status other than 200, 409 and 410.
 
-    503 means: not run. Any other 5xx may come from a gateway after the request was run.
+    503 means that the request was not executed. Any other 5xx may come from a gateway after the
+    request was executed.
     """
     detail = text[:MAXIMUM_DETAIL_LENGTH]
     if status in {HttpStatus.UNAUTHORIZED, HttpStatus.FORBIDDEN}:
--- a/src/beamloom/object_api/transport.py
+++ b/src/beamloom/object_api/transport.py
@@ -1,4 +1,4 @@
-"""HTTP session whose failures say whether a request may have been run."""
+"""HTTP session whose errors distinguish requests that may have been executed from others."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 async def raise_typed_failures(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Turn broken connections into platform errors before aiohttp sees them.
+    """Convert connection failures to platform errors before aiohttp handles them.
 
-    aiohttp would send a PUT or DELETE once more, unseen, although the first may have taken effect.
+    aiohttp would silently resend a PUT or DELETE, although the first may have taken effect.
     """
     try:
         return await handler(request)
@@ -32,7 +32,8 @@
 def open_session(options: PlatformOptions) -> aiohttp.ClientSession:
     """Return a session with the token and certificates of `options`; raises TlsConfigurationError.
 
-    Connections are not reused: one that the platform has just closed would look like a lost answer.
+    Connections are not reused: a request on one that the platform has just closed would fail as if
+    its response were lost.
     """
     tls = client_tls_context(options.tls)
     return aiohttp.ClientSession(
--- a/src/beamloom/object_api/wire.py
+++ b/src/beamloom/object_api/wire.py
@@ -1,4 +1,4 @@
-"""Shapes of the platform's HTTP/JSON API, shared by its client and by its stand-in."""
+"""Paths and JSON formats of the object API, shared by the client and the stand-in server."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectReading:
-    """One object (None: there is none) as of the store's `revision`."""
+    """One object, or None if it does not exist, as of the store's `revision`."""
 
     revision: int
     found: StoredObject | None
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeBatch:
-    """Changes in store order; all changes up to the store's `revision` have been delivered."""
+    """Changes in the store's order, which bring the watch up to `revision`."""
 
     revision: int
     changes: tuple[StoredObject, ...]
@@ -47,18 +47,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineListing:
-    """The platform's lagging view of live and leaving machines, each sorted by name."""
+    """The platform's list of live and leaving machines, which may be out of date."""
 
     live: tuple[Machine, ...]
     leaving: tuple[Machine, ...]
 
 
-def decode(reader: Callable[[JsonObject], Decoded], body: object) -> Decoded:
-    """Apply `reader` to a JSON body; raises MalformedAnswerError where the shape is wrong."""
+def decode(parse: Callable[[JsonObject], Decoded], body: object) -> Decoded:
+    """Apply `parse` to a JSON body; raises MalformedAnswerError if its format is wrong."""
     if not isinstance(body, dict):
         raise MalformedAnswerError("the body is not a JSON object")
     try:
-        return reader(body)
+        return parse(body)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise MalformedAnswerError(f"{type(error).__name__}: {error}") from error
 
@@ -74,33 +74,38 @@
 
 
 def object_from_json(body: JsonObject) -> StoredObject:
-    """Read the JSON form of one object."""
+    """Parse the JSON form of one object."""
     value = body["value"]
     if value is not None and not isinstance(value, dict):
         raise ValueError("a value is neither an object nor null")
     return StoredObject(
-        str(body["key"]), value, _revision(body, "revision"), _revision(body, "created_revision")
+        str(body["key"]),
+        value,
+        _parse_revision(body, "revision"),
+        _parse_revision(body, "created_revision"),
     )
 
 
 def optional_object_from_json(body: JsonObject | None) -> StoredObject | None:
-    """Read the JSON form of an object that may not exist (null)."""
+    """Parse the JSON form of an object, which is null if the object does not exist."""
     return None if body is None else object_from_json(body)
 
 
 def listing_from_json(body: JsonObject) -> ObjectListing:
-    """Read the answer to a listing."""
-    return ObjectListing(_revision(body, "revision"), _objects(body["objects"]))
+    """Parse the response to a list request."""
+    return ObjectListing(_parse_revision(body, "revision"), _parse_objects(body["objects"]))
 
 
 def reading_from_json(body: JsonObject) -> ObjectReading:
-    """Read the answer to the reading of one object."""
-    return ObjectReading(_revision(body, "revision"), optional_object_from_json(body["object"]))
+    """Parse the response to the read of one object."""
+    return ObjectReading(
+        _parse_revision(body, "revision"), optional_object_from_json(body["object"])
+    )
 
 
 def batch_from_json(body: JsonObject) -> ChangeBatch:
-    """Read one line of a watch."""
-    return ChangeBatch(_revision(body, "revision"), _objects(body["changes"]))
+    """Parse one line of a watch."""
+    return ChangeBatch(_parse_revision(body, "revision"), _parse_objects(body["changes"]))
 
 
 def machine_to_json(machine: Machine) -> JsonObject:
@@ -116,7 +121,7 @@
 
 
 def machine_from_json(body: JsonObject) -> Machine:
-    """Read the JSON form of a machine."""
+    """Parse the JSON form of a machine."""
     return Machine(
         NodeId(str(body["node_id"])),
         Zone(str(body["zone"]), str(body["region"])),
@@ -127,7 +132,7 @@
 
 
 def machines_from_json(body: JsonObject) -> MachineListing:
-    """Read the lists of live and leaving machines."""
+    """Parse the lists of live and leaving machines."""
     return MachineListing(
         tuple(machine_from_json(item) for item in body["live"]),
         tuple(machine_from_json(item) for item in body["leaving"]),
@@ -135,16 +140,16 @@
 
 
 def revision_from_json(body: JsonObject) -> int:
-    """Read the revision that an answer names."""
-    return _revision(body, "revision")
+    """Parse the revision in the response to a write."""
+    return _parse_revision(body, "revision")
 
 
-def _revision(body: JsonObject, name: str) -> int:
+def _parse_revision(body: JsonObject, name: str) -> int:
     revision = body[name]
     if not isinstance(revision, int) or revision < 0:
         raise ValueError(f"{name} is {revision!r}, not a revision")
     return revision
 
 
-def _objects(items: list[JsonObject]) -> tuple[StoredObject, ...]:
+def _parse_objects(items: list[JsonObject]) -> tuple[StoredObject, ...]:
     return tuple(object_from_json(item) for item in items)
--- a/tests/unit/fuzzing/test_machines.py
+++ b/tests/unit/fuzzing/test_machines.py
@@ -93,10 +93,10 @@
             self._assert_found(SubjectName.STORE, "was refused")
 
     def test_operator_that_repeats_a_creation_is_found(self) -> None:
-        async def settle(writer: OperatorWriter, attempt: object) -> object:
+        async def try_resolve(writer: OperatorWriter, attempt: object) -> object:
             return await writer._send(attempt)
 
-        with mock.patch.object(OperatorWriter, "_settle", settle):
+        with mock.patch.object(OperatorWriter, "_try_resolve", try_resolve):
             result = search_fixed(SubjectName.STORE, SearchSize(200, 30, shrink_runs=100))
             assert result.failure is not None
             self.assertEqual(replay(result.failure.token), result.failure)
--- a/tests/unit/test_platform_operator.py
+++ b/tests/unit/test_platform_operator.py
@@ -1,4 +1,4 @@
-"""Operators' writes: told done means done once, told not done means never done."""
+"""A write reported as done takes effect exactly once, one reported as not done never does."""
 
 import asyncio
 import unittest
@@ -27,7 +27,11 @@
 
 
 class DirectClient:
-    """The store without sockets; `fates` befall the next writes, `between` runs before a read."""
+    """Client that calls the store directly and injects faults into the next writes.
+
+    `fates` says what happens to each of the next writes. After each lost response, the next
+    function of `between` runs.
+    """
 
     def __init__(self, store: PlatformStore) -> None:
         self.store = store
@@ -103,7 +107,7 @@
         revision = current.revision if current else 0
         self.store.write(KEY, {"port": port, "operation": f"rival-{port}"}, revision)
 
-    async def test_lost_answers_are_resolved_as_done_once(self) -> None:
+    async def test_write_with_lost_response_is_reported_as_done_once(self) -> None:
         for action in (
             lambda: self.writer.create_object(KEY, {"port": 80}),
             lambda: self.writer.update_object(KEY, change_port(81)),
@@ -115,14 +119,14 @@
             steps = 2 if self.store.read(KEY).found is None else 1
             self.assertEqual((accepted.revision, accepted.superseded_by), (before + steps, None))
 
-    async def test_lost_deletion_itself_is_resolved(self) -> None:
+    async def test_deletion_with_lost_response_is_reported_as_done(self) -> None:
         await self.writer.create_object(KEY, {"port": 80})
         self.client.fates = [PASS, LOSE]
         accepted = await self.writer.delete_object(KEY)
         self.assertEqual(accepted.revision, self.store.revision)
         self.assertIsNone(self.store.read(KEY).found)
 
-    async def test_lost_request_is_fenced_before_it_is_told_not_done(self) -> None:
+    async def test_delayed_write_has_no_effect_after_an_edit_conflict(self) -> None:
         await self.writer.create_object(KEY, {"port": 80})
         self.client.fates = [DELAY]
         self.client.between = [lambda: self.interfere(99)]
@@ -131,7 +135,7 @@
         self.client.run_delayed()
         self.assertEqual((self.store.read(KEY).found.value or {})["port"], 99)
 
-    async def test_done_but_superseded_names_the_rival(self) -> None:
+    async def test_superseded_write_names_the_later_operation(self) -> None:
         self.client.fates = [LOSE]
         self.client.between = [lambda: self.interfere(99)]
         created = await self.writer.create_object(KEY, {"port": 80})
@@ -141,7 +145,7 @@
         updated = await self.writer.update_object(KEY, change_port(81))
         self.assertEqual((updated.revision, updated.superseded_by), (3, "deletion"))
 
-    async def test_rival_deletion_is_not_taken_for_our_own(self) -> None:
+    async def test_deletion_by_another_writer_is_not_mistaken_for_own(self) -> None:
         await self.writer.create_object(KEY, {"port": 80})
         rival = make_writer(self.client, 2)
         self.client.fates = [PASS, DELAY]
@@ -156,7 +160,7 @@
             await self.writer.delete_object(KEY)
         self.assertIn("deleted by another writer", str(caught.exception))
 
-    async def test_unseen_creation_is_called_unresolved_and_sent_once(self) -> None:
+    async def test_delayed_creation_is_unresolved_and_sent_once(self) -> None:
         self.client.fates = [DELAY]
         with self.assertRaises(WriteUnresolvedError) as caught:
             await self.writer.create_object(KEY, {"port": 80})
@@ -165,14 +169,14 @@
         found = self.store.read(KEY).found
         self.assertEqual(operation_of(found), caught.exception.operation_id)
 
-    async def test_forgotten_history_is_called_unresolved_not_guessed(self) -> None:
+    async def test_update_beyond_the_history_limit_is_unresolved(self) -> None:
         await self.writer.create_object(KEY, {"port": 80})
         self.client.fates = [DELAY]
         self.client.between = [lambda: [self.interfere(port) for port in range(60)]]
         with self.assertRaises(WriteUnresolvedError):
             await self.writer.update_object(KEY, change_port(81))
 
-    async def test_loser_of_a_race_is_told_what_changed(self) -> None:
+    async def test_edit_conflict_lists_the_changed_fields(self) -> None:
         await self.writer.create_object(KEY, {"port": 80, "limits": {"rate": 1}})
 
         def slow_operator(value: dict[str, Any]) -> dict[str, Any]:
@@ -186,7 +190,7 @@
         self.assertEqual(caught.exception.changes, expected)
         self.assertIn("operation rival, revision 2", str(caught.exception))
 
-    async def test_creating_what_exists_and_changing_what_does_not(self) -> None:
+    async def test_create_needs_a_new_key_and_changes_need_an_object(self) -> None:
         with self.assertRaises(ObjectNotFoundError):
             await self.writer.update_object(KEY, change_port(1))
         with self.assertRaises(ObjectNotFoundError):
--- a/tests/unit/test_platform_wire.py
+++ b/tests/unit/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""The client's parsers raise nothing but MalformedAnswerError; pauses keep their bounds."""
+"""Malformed responses raise only MalformedAnswerError; retry delays stay within their limits."""
 
 import unittest
 from contextlib import suppress
@@ -37,17 +37,17 @@
             with suppress(MalformedAnswerError):
                 wire.decode(reader, body)
 
-    def test_numbers_that_are_no_revisions_are_refused(self) -> None:
+    def test_invalid_revisions_are_rejected(self) -> None:
         for revision in (float("inf"), 1.5, -1, None, "x", [1]):
             with self.assertRaises(MalformedAnswerError):
                 wire.decode(wire.batch_from_json, {"revision": revision, "changes": []})
 
 
 class RetryTest(unittest.TestCase):
-    def test_pauses_are_bounded_in_number_and_length(self) -> None:
+    def test_delays_are_bounded_in_number_and_length(self) -> None:
         policy = RetryPolicy(attempts=6, base_seconds=1.0, cap_seconds=4.0)
         for seed in range(50):
-            pauses = list(Retrier(policy, Random(seed)).pauses())
-            self.assertEqual(len(pauses), 5)
-            for pause, ceiling in zip(pauses, (1, 2, 4, 4, 4), strict=True):
-                self.assertTrue(0 <= pause <= ceiling)
+            delays = list(Retrier(policy, Random(seed)).delays())
+            self.assertEqual(len(delays), 5)
+            for delay, ceiling in zip(delays, (1, 2, 4, 4, 4), strict=True):
+                self.assertTrue(0 <= delay <= ceiling)
