--- a/tests/functional/test_platform_adapter.py
+++ b/tests/functional/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter answers each command with one event, and leaves nothing behind when closed."""
+"""The adapter delivers results as events, and leaves no tasks or watches behind when closed."""
 
 import asyncio
 
@@ -39,7 +39,7 @@
         self.assertTrue(self.adapter.execute(command))
         return await self.events.get()
 
-    async def test_each_command_has_its_event(self) -> None:
+    async def test_each_command_delivers_its_event(self) -> None:
         self.assertEqual(await self.ask(WriteObject(1, "tenant/a", {}, 0)), StoreWritten(1, 1))
         self.assertEqual(
             await self.ask(WriteObject(2, "tenant/a", {}, 0)), StoreConflict(2, STORED)
@@ -49,10 +49,10 @@
         self.assertEqual(await self.ask(ReadObject(5, "tenant/b")), StoreObjectRead(5, None))
         self.assertEqual(self.adapter.open_requests, 0)
 
-    async def test_other_commands_are_left_to_others(self) -> None:
+    async def test_commands_that_are_not_for_the_store_are_not_executed(self) -> None:
         self.assertFalse(self.adapter.execute(StopNode(True, "test")))
 
-    async def test_failures_are_events_not_exceptions(self) -> None:
+    async def test_failures_are_delivered_as_events(self) -> None:
         self.store.inject(FaultPlan(down=True))
         for command in (
             ListStore(1),
@@ -64,12 +64,12 @@
             self.assertIsInstance(event, StoreFailed)
             self.assertFalse(event.gone)
 
-    async def test_lost_answer_is_a_failure_that_took_effect(self) -> None:
+    async def test_write_with_lost_response_fails_but_takes_effect(self) -> None:
         self.store.inject(FaultPlan(lost_answers=1))
         self.assertIsInstance(await self.ask(WriteObject(1, "tenant/a", {}, 0)), StoreFailed)
         self.assertEqual(await self.ask(ReadObject(2, "tenant/a")), StoreObjectRead(2, STORED))
 
-    async def test_watch_delivers_changes_and_says_when_it_is_gone(self) -> None:
+    async def test_watch_delivers_changes_and_reports_lost_history(self) -> None:
         self.assertEqual(await self.ask(WatchStore(1, 0)), StoreChanged(1, 0, ()))
         self.store.write("tenant/a", {}, 0)
         event = await self.events.get()
@@ -84,7 +84,7 @@
         gone = await self.ask(WatchStore(2, 0))
         self.assertTrue(isinstance(gone, StoreFailed) and gone.gone)
 
-    async def test_nothing_is_delivered_after_stop_and_nothing_leaks(self) -> None:
+    async def test_no_events_tasks_or_watches_remain_after_close(self) -> None:
         await self.ask(WatchStore(1, 0))
         self.store.inject(FaultPlan(delay_seconds=1.0))
         self.adapter.execute(WatchStore(2, 0))
--- a/tests/functional/test_platform_http.py
+++ b/tests/functional/test_platform_http.py
@@ -1,4 +1,4 @@
-"""Client and stand-in over real sockets: refusals, lost answers, timeouts and broken watches."""
+"""Client and stand-in over sockets: rejections, lost responses, timeouts, interrupted watches."""
 
 import asyncio
 from collections.abc import Callable
@@ -50,7 +50,7 @@
         self.assertEqual(await self.client.write(KEY, None, revision), 2)
         self.assertIsNone((await self.client.read(KEY)).found)
 
-    async def test_conflict_carries_the_current_object(self) -> None:
+    async def test_conflict_returns_the_current_object(self) -> None:
         await self.client.write(KEY, {"port": 80}, 0)
         for value, expected in (({"port": 81}, 0), ({"port": 81}, 9), (None, 9)):
             with self.assertRaises(StoreConflictError) as caught:
@@ -60,19 +60,19 @@
             await self.client.write("tenant/none", {}, 3)
         self.assertIsNone(caught.exception.current)
 
-    async def test_wrong_token_is_refused_everywhere_without_retry(self) -> None:
-        stranger = await self.make_client(token="wrong")
+    async def test_wrong_token_is_rejected_without_retry(self) -> None:
+        client = await self.make_client(token="wrong")
         for request in (
-            stranger.list_objects(),
-            stranger.write(KEY, {}, 0),
-            anext(stranger.watch(0)),
-            stranger.list_machines(),
+            client.list_objects(),
+            client.write(KEY, {}, 0),
+            anext(client.watch(0)),
+            client.list_machines(),
         ):
             with self.assertRaises(UnauthorizedError):
                 await request
         self.assertEqual((self.pauses, self.store.revision), ([], 0))
 
-    async def test_down_store_refuses_after_bounded_retries_and_recovers(self) -> None:
+    async def test_unavailable_store_fails_requests_after_bounded_retries(self) -> None:
         self.store.inject(FaultPlan(down=True))
         for request in (self.client.list_objects(), self.client.write(KEY, {}, 0)):
             self.pauses.clear()
@@ -82,27 +82,27 @@
         self.on_pause = lambda: self.store.inject(FaultPlan())
         self.assertEqual(await self.client.write(KEY, {}, 0), 1)
 
-    async def test_nothing_listens_at_start(self) -> None:
+    async def test_closed_port_is_reported_as_unavailable(self) -> None:
         await self.server.stop()
         with self.assertRaises(StoreUnavailableError) as caught:
             await self.client.write(KEY, {}, 0)
         self.assertIn("check the platform's address", str(caught.exception))
 
-    async def test_timed_out_write_is_unknown_and_may_take_effect_later(self) -> None:
-        impatient = await self.make_client(timeout=0.05)
+    async def test_timed_out_write_has_unknown_outcome_and_may_take_effect_later(self) -> None:
+        client = await self.make_client(timeout=0.05)
         changed = asyncio.Event()
         self.store.inject(FaultPlan(delay_seconds=1.0))
         with self.assertRaises(OutcomeUnknownError):
-            await impatient.write(KEY, {}, 0)
+            await client.write(KEY, {}, 0)
         self.assertEqual((self.store.revision, self.pauses), (0, []))
         with self.assertRaises(StoreUnavailableError):
-            await impatient.read(KEY)
+            await client.read(KEY)
         self.store.add_listener(changed.set)
         self.gate.set()
         await changed.wait()
         self.assertEqual(self.store.revision, 1)
 
-    async def test_lost_answer_is_unknown_and_never_repeated_by_the_client(self) -> None:
+    async def test_write_with_lost_response_has_unknown_outcome_and_is_not_retried(self) -> None:
         self.store.inject(FaultPlan(lost_answers=3))
         for value, expected in (({"port": 80}, 0), ({"port": 81}, 1), (None, 2)):
             with self.assertRaises(OutcomeUnknownError):
@@ -110,7 +110,7 @@
             self.assertEqual(self.store.revision, expected + 1)
         self.assertEqual(self.pauses, [])
 
-    async def test_operator_resolves_lost_answers_over_the_network(self) -> None:
+    async def test_operator_resolves_lost_responses_over_http(self) -> None:
         writer = OperatorWriter(self.client, Random(3), self.make_retrier())
         actions: tuple[Callable[[], object], ...] = (
             lambda: writer.create_object(KEY, {"port": 80}),
@@ -123,7 +123,7 @@
             self.assertEqual(self.store.revision, revision)
             self.store.inject(FaultPlan())
 
-    async def test_malformed_requests_are_refused_with_a_reason(self) -> None:
+    async def test_malformed_requests_are_rejected_with_a_reason(self) -> None:
         headers = {"Authorization": f"Bearer {TOKEN}"}
         async with aiohttp.ClientSession(f"http://{self.address}", headers=headers) as session:
             for method, path, body, status in (
@@ -160,7 +160,7 @@
         await self.client.leave_machine(machine.node_id)
         self.assertEqual((await self.client.list_machines()).leaving, (machine,))
 
-    async def test_failed_handshake_points_at_the_certificates_without_retry(self) -> None:
+    async def test_failed_tls_handshake_is_a_tls_error_without_retry(self) -> None:
         client = await self.make_client(scheme="https")
         for request in (client.write(KEY, {}, 0), anext(client.watch(0))):
             with self.assertRaises(TlsConfigurationError):
@@ -192,14 +192,14 @@
                     return revisions
         return revisions
 
-    async def test_old_revision_is_gone(self) -> None:
+    async def test_watch_of_a_discarded_revision_fails(self) -> None:
         for number in range(HISTORY_LIMIT + 5):
             self.write(number)
         with self.assertRaises(WatchGoneError):
             await self.take(4, 1)
         self.assertEqual(await self.take(5, HISTORY_LIMIT), list(range(6, HISTORY_LIMIT + 6)))
 
-    async def test_reader_limit_is_told_and_retried_after_the_stated_time(self) -> None:
+    async def test_watch_limit_is_reported_and_retried_after_the_given_time(self) -> None:
         watches = [self.client.watch(0) for _ in range(WATCH_LIMIT)]
         for watch in watches:
             await anext(watch)
@@ -209,7 +209,7 @@
         for watch in watches:
             await watch.aclose()
 
-    async def test_a_closed_watch_frees_its_place(self) -> None:
+    async def test_closed_watch_is_removed_from_the_store(self) -> None:
         watch = self.client.watch(0)
         await anext(watch)
         self.assertEqual(self.store.watch_count, 1)
@@ -238,7 +238,7 @@
         self.assertEqual(revisions, list(range(1, revisions[-1] + 1)))
         self.assertGreaterEqual(len(self.pauses), 5)
 
-    async def test_store_going_down_breaks_the_watch_until_it_is_back(self) -> None:
+    async def test_watch_resumes_after_an_outage_and_fails_if_it_lasts(self) -> None:
         self.write(0)
         async with aclosing(self.client.watch(0)) as batches:
             await anext(batches)
@@ -255,7 +255,7 @@
                 while True:
                     await anext(batches)
 
-    async def test_large_batches_and_prefixes_pass(self) -> None:
+    async def test_watch_delivers_large_batches_and_filters_by_prefix(self) -> None:
         self.store.write("tenant/big", {"text": "x" * 300_000}, 0)
         self.write(1)
         self.assertEqual(await self.take(0, 2), [1, 2])
@@ -263,7 +263,7 @@
             batch = await anext(batches)
         self.assertEqual([change.key for change in batch.changes], ["tenant/a"])
 
-    async def test_silent_watch_is_opened_anew(self) -> None:
+    async def test_watch_without_keepalives_is_reopened(self) -> None:
         self.server = PlatformServer(self.store, TOKEN, ANY_PORT, keepalive_seconds=60.0)
         self.address = await self.server.start()
         self.addAsyncCleanup(self.server.stop)
@@ -273,7 +273,7 @@
                 await anext(batches)
         self.assertEqual(len(self.pauses), 2)
 
-    async def test_line_that_was_cut_off_is_dropped(self) -> None:
+    async def test_incomplete_last_line_is_dropped(self) -> None:
         line = b'{"revision": 1, "changes": []}\n'
         opened = 0
 
@@ -295,7 +295,7 @@
 
 
 class StatusTest(PlatformTestCase):
-    async def test_statuses_of_a_real_platform(self) -> None:
+    async def test_error_statuses_map_to_their_errors(self) -> None:
         expected: dict[bytes, type[PlatformError]] = {
             b"400 Bad Request": RequestRefusedError,
             b"403 Forbidden": UnauthorizedError,
@@ -304,9 +304,9 @@
             b"503 Service Unavailable": StoreUnavailableError,
         }
         for status, error in expected.items():
-            await self._write_refused(status, error)
+            await self._assert_write_fails(status, error)
 
-    async def _write_refused(self, status: bytes, error: type[PlatformError]) -> None:
+    async def _assert_write_fails(self, status: bytes, error: type[PlatformError]) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 " + status + b"\r\nContent-Length: 0\r\n\r\n")
