--- a/src/beamloom/experiments/__init__.py
+++ b/src/beamloom/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Sweeps of the simulator over scenarios, placements, seeds and fleet sizes, and their report."""
+"""Simulation sweeps over scenarios, placements, seeds and fleet sizes, and their report."""
--- a/src/beamloom/experiments/definition.py
+++ b/src/beamloom/experiments/definition.py
@@ -1,4 +1,4 @@
-"""Experiment files: what to sweep, read from TOML with all faults told at once."""
+"""Experiment files: TOML files that define sweeps, checked with all faults reported at once."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 MAXIMUM_FLOWS = 1_000_000
 MAXIMUM_CELLS = 100_000
 
-Texts = Annotated[tuple[str, ...], Field(strict=False, min_length=1)]
+NameList = Annotated[tuple[str, ...], Field(strict=False, min_length=1)]
 Seeds = Annotated[
     tuple[Annotated[int, Field(ge=0)], ...],
     Field(strict=False, min_length=1),
@@ -33,13 +33,13 @@
 
 
 class SweepTable(FileModel):
-    """`[[sweeps]]`: every scenario with every placement, seed and number of nodes.
+    """`[[sweeps]]`: runs every combination of scenario, placement, seed and number of nodes.
 
-    A duration of zero takes the scenario's own.
+    With a duration of zero each run lasts as long as its scenario defines.
     """
 
-    scenarios: Texts
-    placements: Texts
+    scenarios: NameList
+    placements: NameList
     seeds: Seeds
     nodes: NodeCounts
     flows: int = Field(ge=0, le=MAXIMUM_FLOWS)
@@ -47,13 +47,13 @@
 
 
 class ForwardingTable(FileModel):
-    """`[forwarding]`: the cost of a packet's decision at each number of open flows."""
+    """`[forwarding]`: measures the cost of a forwarding decision at each number of open flows."""
 
     open_flows: FlowCounts = ()
 
 
 class ExperimentFile(FileModel):
-    """The whole file."""
+    """The root table of an experiment file."""
 
     name: Name
     sweeps: Annotated[tuple[SweepTable, ...], Field(strict=False, min_length=1)]
@@ -61,7 +61,7 @@
 
 
 def load_experiment(path: Path) -> ExperimentFile:
-    """Read and check a file; raises an ExceptionGroup of SettingsFileErrors."""
+    """Read and check a file; raises an ExceptionGroup with a SettingsFileError for each fault."""
     try:
         source = load_toml(path)
     except SettingsFileError as fault:
@@ -70,38 +70,38 @@
 
 
 def check_experiment(source: TomlSource) -> ExperimentFile:
-    """Return a checked file; raises an ExceptionGroup of SettingsFileErrors, all at once."""
+    """Return the checked file; raises an ExceptionGroup with a SettingsFileError for each fault."""
     reading = read_tables(ExperimentFile, source)
-    raise_faults([*reading.faults, *_faults(source, reading.tables)])
+    raise_faults([*reading.faults, *_find_faults(source, reading.tables)])
     return reading.tables
 
 
-def _faults(source: TomlSource, tables: ExperimentFile) -> Iterator[SettingsFileError]:
+def _find_faults(source: TomlSource, tables: ExperimentFile) -> Iterator[SettingsFileError]:
     cells = 0
     for index, sweep in enumerate(tables.sweeps):
         path: KeyPath = ("sweeps", index)
         scenarios, placements = sweep.scenarios or (), sweep.placements or ()
         known = tuple(Placement)
-        yield from _unknown(source, (*path, "scenarios"), scenarios, tuple(SCENARIOS))
-        yield from _unknown(source, (*path, "placements"), placements, known)
+        yield from _find_unknown(source, (*path, "scenarios"), scenarios, tuple(SCENARIOS))
+        yield from _find_unknown(source, (*path, "placements"), placements, known)
         for name in ("scenarios", "placements", "seeds", "nodes"):
-            yield from _repeated(source, (*path, name), getattr(sweep, name) or ())
+            yield from _find_repeated(source, (*path, name), getattr(sweep, name) or ())
         cells += len(scenarios) * len(placements) * len(sweep.seeds or ()) * len(sweep.nodes or ())
     if cells > MAXIMUM_CELLS:
-        reason = f"{cells} runs are more than {MAXIMUM_CELLS}"
-        yield fault_at(source, ("sweeps", 0), reason, "sweep less, or write several files")
+        reason = f"{cells} runs exceed the limit of {MAXIMUM_CELLS}"
+        yield fault_at(source, ("sweeps", 0), reason, "reduce the sweeps or split the file")
 
 
-def _unknown(
+def _find_unknown(
     source: TomlSource, path: KeyPath, names: tuple[str, ...], known: tuple[str, ...]
 ) -> Iterator[SettingsFileError]:
     for name in names:
         if name not in known:
-            remedy = f"give some of {', '.join(known)}"
-            yield fault_at(source, path, f"there is no {name!r}", remedy)
+            remedy = f"choose from {', '.join(known)}"
+            yield fault_at(source, path, f"{name!r} does not exist", remedy)
 
 
-def _repeated(
+def _find_repeated(
     source: TomlSource, path: KeyPath, values: tuple[object, ...]
 ) -> Iterator[SettingsFileError]:
     if len(set(values)) < len(values):
--- a/src/beamloom/experiments/errors.py
+++ b/src/beamloom/experiments/errors.py
@@ -4,21 +4,21 @@
 
 
 class ExperimentError(Exception):
-    """An experiment that could not be run or joined."""
+    """An experiment cannot be run, or its results cannot be joined."""
 
 
 class PartError(ExperimentError):
-    """A part that does not exist."""
+    """The text does not name a part."""
 
     def __init__(self, text: str) -> None:
-        super().__init__(f"{text!r} is no part: give K/N, for example 1/4, with K from 1 to N")
+        super().__init__(f"{text!r} is not a part: give K/N, for example 1/4, with K from 1 to N")
 
 
 class ResultsIncompleteError(ExperimentError):
-    """Results are missing, given twice or of another experiment."""
+    """Results are unreadable, missing, duplicated or from another experiment."""
 
     def __init__(self, directory: str, detail: str) -> None:
         super().__init__(
-            f"the results in {directory} do not make up the experiment ({detail}): "
-            "remove its part-*.jsonl and run every part of the same file and version again"
+            f"the results in {directory} do not match the experiment ({detail}): "
+            "remove its part-*.jsonl files and run every part again with the same file and version"
         )
--- a/src/beamloom/experiments/plan.py
+++ b/src/beamloom/experiments/plan.py
@@ -1,4 +1,4 @@
-"""The runs of an experiment in their order, and which of them a part takes."""
+"""The runs of an experiment in order, and their division into parts."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from beamloom.experiments.definition import ExperimentFile, SweepTable
 from beamloom.experiments.errors import PartError
 
-_PART = re.compile(r"([1-9]\d{0,4})/([1-9]\d{0,4})")
+_PART_PATTERN = re.compile(r"([1-9]\d{0,4})/([1-9]\d{0,4})")
 
 
 @dataclass(frozen=True, slots=True)
 class SimulationCell:
-    """One run of the simulator; zero for `duration` takes the scenario's own, in seconds."""
+    """One run of the simulator; `duration` is in seconds, and 0 selects that of the scenario."""
 
     scenario: str
     placement: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardingCell:
-    """One measurement of a packet's decision with a number of open flows."""
+    """One measurement of the forwarding decision with a number of open flows."""
 
     open_flows: int
 
@@ -44,32 +44,32 @@
 
     @classmethod
     def parse(cls, text: str) -> Part:
-        """Read `K/N`; raises PartError."""
-        found = _PART.fullmatch(text)
-        if found is None or int(found[1]) > int(found[2]):
+        """Parse `K/N`; raises PartError."""
+        match = _PART_PATTERN.fullmatch(text)
+        if match is None or int(match[1]) > int(match[2]):
             raise PartError(text)
-        return cls(int(found[1]), int(found[2]))
+        return cls(int(match[1]), int(match[2]))
 
     @property
     def file_name(self) -> str:
-        """The file that holds the part's results."""
+        """The name of the file with the part's results."""
         return f"part-{self.number}-of-{self.count}.jsonl"
 
     def select(self, cells: Sequence[Cell]) -> list[Cell]:
-        """Return the part's share of the cells: every `count`-th one."""
+        """Return the cells of this part: every `count`-th one, from position `number`."""
         return list(cells[self.number - 1 :: self.count])
 
 
 def cells_of(experiment: ExperimentFile) -> list[Cell]:
-    """Return every run once, in the order of the file."""
+    """Return the cells of all tables without duplicates, in the order of the file."""
     cells: dict[Cell, None] = {}
     for sweep in experiment.sweeps:
-        cells.update(dict.fromkeys(_simulations(sweep)))
+        cells.update(dict.fromkeys(_simulation_cells(sweep)))
     cells.update(dict.fromkeys(map(ForwardingCell, experiment.forwarding.open_flows)))
     return list(cells)
 
 
-def _simulations(sweep: SweepTable) -> Iterator[SimulationCell]:
+def _simulation_cells(sweep: SweepTable) -> Iterator[SimulationCell]:
     sweeps = itertools.product(sweep.scenarios, sweep.placements, sweep.nodes, sweep.seeds)
     for scenario, placement, nodes, seed in sweeps:
         yield SimulationCell(scenario, placement, nodes, seed, sweep.flows, sweep.duration_seconds)
--- a/src/beamloom/experiments/report.py
+++ b/src/beamloom/experiments/report.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """One part of the page: a table and the plots beneath it, SVG texts by file name."""
+    """A section of the page with a table and plots; `plots` maps file names to SVG."""
 
     title: str
     text: str
@@ -41,13 +41,13 @@
 def write_report(
     directory: Path, experiment: ExperimentFile, results: Sequence[CellResult], command: str
 ) -> None:
-    """Write the page and its plots; `command` is what a reader runs to make them again."""
+    """Write the page and its plots; `command` is the command line that reproduces them."""
     directory.mkdir(parents=True, exist_ok=True)
     sections = list(_sections(results))
     for section in sections:
-        for name, drawing in section.plots.items():
-            (directory / name).write_text(drawing, encoding="utf-8")
-    page = "\n".join(_page(experiment, results, sections, command))
+        for name, svg in section.plots.items():
+            (directory / name).write_text(svg, encoding="utf-8")
+    page = "\n".join(_page_lines(experiment, results, sections, command))
     (directory / PAGE_NAME).write_text(page, encoding="utf-8")
 
 
@@ -88,7 +88,7 @@
         )
 
 
-def _page(
+def _page_lines(
     experiment: ExperimentFile,
     results: Sequence[CellResult],
     sections: Sequence[Section],
@@ -100,7 +100,7 @@
     yield "Each run is one line of `results.jsonl` and is replayed by `beamloom simulate` with the"
     yield "scenario, placement, nodes, seed, flows and duration that the line names."
     yield ""
-    yield from _totals(results)
+    yield from _total_lines(results)
     for section in sections:
         yield ""
         yield f"## {section.title}"
@@ -114,7 +114,7 @@
     yield ""
 
 
-def _totals(results: Sequence[CellResult]) -> Iterator[str]:
+def _total_lines(results: Sequence[CellResult]) -> Iterator[str]:
     runs = [result for result in results if isinstance(result.cell, SimulationCell)]
     flows = sum(result.figures["flows"] for result in runs)
     yield f"{len(runs)} runs with {flows} flows."
@@ -189,6 +189,6 @@
     return _table(("open flows", "microseconds per packet"), cells)
 
 
-def _table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> tuple[str, ...]:
-    lines = [head, ["---"] * len(head), *rows]
+def _table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> tuple[str, ...]:
+    lines = [header, ["---"] * len(header), *rows]
     return tuple(f"| {' | '.join(line)} |" for line in lines)
--- a/src/beamloom/experiments/results.py
+++ b/src/beamloom/experiments/results.py
@@ -1,4 +1,4 @@
-"""Results of cells as JSON lines: written by parts, joined into the whole experiment."""
+"""Results of cells as JSON lines: one file per part, which are joined into one list."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CellResult:
-    """What one cell gave: the simulator's report, or the cost of a decision in microseconds."""
+    """The result of a cell: the simulator's report, or the microseconds of a decision."""
 
     cell: Cell
     figures: Mapping[str, Any]
 
     def to_line(self) -> str:
-        """Return one line of JSON."""
+        """Return the result as a line of JSON, without a newline."""
         kind = "forwarding" if isinstance(self.cell, ForwardingCell) else "simulation"
         row = {kind: asdict(self.cell), "figures": dict(self.figures)}
         return json.dumps(row, separators=(",", ":"), sort_keys=True)
 
     @classmethod
     def from_line(cls, line: str) -> CellResult:
-        """Read one line of JSON; raises ValueError, KeyError or TypeError."""
+        """Parse a line of JSON; raises ValueError, KeyError or TypeError."""
         row = json.loads(line)
         if "forwarding" in row:
             return cls(ForwardingCell(**row["forwarding"]), row["figures"])
@@ -39,7 +39,7 @@
 
 
 def write_results(path: Path, results: Iterable[CellResult]) -> None:
-    """Write results as they come, one line each."""
+    """Write one line per result, as soon as `results` yields it."""
     path.parent.mkdir(parents=True, exist_ok=True)
     with path.open("w", encoding="utf-8") as file:
         for result in results:
@@ -54,18 +54,18 @@
     """
     found: list[CellResult] = []
     for path in sorted(directory.glob(PART_PATTERN)):
-        found.extend(_read(directory, path))
+        found.extend(_read_part(directory, path))
     by_cell = {result.cell: result for result in found}
-    twice = sum(count > 1 for count in Counter(result.cell for result in found).values())
+    duplicated = sum(count > 1 for count in Counter(result.cell for result in found).values())
     missing = sum(cell not in by_cell for cell in cells)
-    foreign = len(by_cell.keys() - set(cells))
-    if twice or missing or foreign:
-        detail = f"{missing} missing, {twice} given twice, {foreign} of another experiment"
+    unexpected = len(by_cell.keys() - set(cells))
+    if duplicated or missing or unexpected:
+        detail = f"{missing} missing, {duplicated} given twice, {unexpected} of another experiment"
         raise ResultsIncompleteError(str(directory), detail)
     return [by_cell[cell] for cell in cells]
 
 
-def _read(directory: Path, path: Path) -> list[CellResult]:
+def _read_part(directory: Path, path: Path) -> list[CellResult]:
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
         return [CellResult.from_line(line) for line in lines]
--- a/src/beamloom/experiments/runner.py
+++ b/src/beamloom/experiments/runner.py
@@ -1,4 +1,4 @@
-"""Running the cells of one part; each result is one JSON object."""
+"""Runs cells of an experiment."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def run_cells(cells: Iterable[Cell]) -> Iterator[CellResult]:
-    """Run cells one after the other."""
+    """Run the cells one after the other and yield their results."""
     for cell in cells:
         yield CellResult(cell, _run(cell))
 
--- a/src/beamloom/experiments/summary.py
+++ b/src/beamloom/experiments/summary.py
@@ -1,4 +1,4 @@
-"""Figures of the report, worked out from the results of cells."""
+"""Rows of the report's tables, computed from the results of cells."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRow:
-    """One scenario under one placement, over seeds and numbers of nodes."""
+    """One scenario with one placement, over all seeds and numbers of nodes."""
 
     scenario: str
     placement: str
@@ -30,13 +30,16 @@
 
     @property
     def broken_per_thousand(self) -> float:
-        """Broken flows of a thousand."""
+        """Broken flows per thousand flows, or 0 without flows."""
         return 1000 * self.broken_flows / self.flows if self.flows else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class NodesRow:
-    """The product's fleets of one size, over scenarios and seeds; seconds and bytes a second."""
+    """Fleets of one size with the product's placement, over scenarios and seeds.
+
+    `in_force` is in seconds, `control` in bytes per second and node.
+    """
 
     nodes: int
     runs: int
@@ -49,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionRow:
-    """The cost of a packet's decision with a number of open flows."""
+    """The cost of a forwarding decision with a number of open flows."""
 
     open_flows: int
     microseconds: float
@@ -58,10 +61,10 @@
 def placement_rows(results: Sequence[CellResult]) -> list[PlacementRow]:
     """Return one row for each scenario and placement, in the order of the results.
 
-    Only sizes that a scenario ran at with each of its placements count.
+    A scenario's numbers of nodes that did not run with each of its placements are left out.
     """
-    comparable = _comparable(results)
-    groups = _grouped(comparable, lambda cell: (cell.scenario, cell.placement))
+    comparable = _with_every_placement(results)
+    groups = _group_figures(comparable, lambda cell: (cell.scenario, cell.placement))
     return [
         PlacementRow(
             scenario,
@@ -78,13 +81,13 @@
 
 
 def nodes_rows(results: Sequence[CellResult]) -> list[NodesRow]:
-    """Return one row for each number of nodes, the product's placement only.
+    """Return one row for each number of nodes, for the product's placement only.
 
-    Only scenarios that ran at every size count, so that sizes can be compared.
+    Scenarios that did not run with every number of nodes are left out, for comparable rows.
     """
     own = [result for result in results if _placement(result) == PRODUCT_PLACEMENT]
     common = _scenarios_at_every_size(own)
-    groups = _grouped(
+    groups = _group_figures(
         [result for result in own if result.figures["scenario"] in common],
         lambda cell: cell.nodes,
     )
@@ -106,7 +109,7 @@
 
 
 def decision_rows(results: Sequence[CellResult]) -> list[DecisionRow]:
-    """Return the measurements of a packet's decision by number of open flows."""
+    """Return the costs of a forwarding decision, sorted by number of open flows."""
     rows = [
         DecisionRow(result.cell.open_flows, result.figures["decision_microseconds"])
         for result in results
@@ -115,7 +118,7 @@
     return sorted(rows, key=lambda row: row.open_flows)
 
 
-def _comparable(results: Sequence[CellResult]) -> list[CellResult]:
+def _with_every_placement(results: Sequence[CellResult]) -> list[CellResult]:
     placements: dict[str, set[str]] = {}
     ran: dict[tuple[str, int], set[str]] = {}
     for cell in (result.cell for result in results):
@@ -142,7 +145,7 @@
     return result.cell.placement if isinstance(result.cell, SimulationCell) else ""
 
 
-def _grouped(
+def _group_figures(
     results: Sequence[CellResult], key: Callable[[SimulationCell], Key]
 ) -> dict[Key, list[Figures]]:
     groups: dict[Key, list[Figures]] = {}
--- a/tests/unit/experiments/test_definition.py
+++ b/tests/unit/experiments/test_definition.py
@@ -55,8 +55,8 @@
 
 
 class DefinitionTest(unittest.TestCase):
-    def test_all_faults_are_told_at_once_with_lines(self) -> None:
-        told = {(fault.line, fault.key) for fault in _faults(BAD)}
+    def test_all_faults_are_reported_at_once_with_lines(self) -> None:
+        reported = {(fault.line, fault.key) for fault in _faults(BAD)}
         expected = {
             (3, "colour"),
             (6, "sweeps[1].scenarios"),
@@ -68,28 +68,28 @@
             (14, "sweeps[2].scenarios"),
             (13, "sweeps[2].flows"),
         }
-        self.assertEqual(told, expected)
+        self.assertEqual(reported, expected)
         for fault in _faults(BAD):
             self.assertTrue(fault.remedy)
 
     def test_faults_of_an_empty_file_name_what_is_missing(self) -> None:
         self.assertEqual({fault.key for fault in _faults("")}, {"name", "sweeps"})
 
-    def test_sweep_is_bounded(self) -> None:
+    def test_number_of_runs_is_limited(self) -> None:
         seeds = ", ".join(map(str, range(30_000)))
         faults = _faults(GOOD.replace("[1, 2, 3]", f"[{seeds}]"))
         self.assertEqual([fault.key for fault in faults], ["sweeps[1]"])
 
 
 class PlanTest(unittest.TestCase):
-    def test_every_run_is_there_once(self) -> None:
+    def test_cells_contain_every_run_once(self) -> None:
         cells = cells_of(check_experiment(parse_toml(GOOD)))
         self.assertEqual(len(cells), len(set(cells)))
         self.assertEqual(len(cells), 2 * 2 * 3 * 2 + 1 + 1)
         self.assertEqual(cells[0], SimulationCell("steady", "home", 2, 1, 10, 0.0))
         self.assertEqual(cells[-1], ForwardingCell(100))
 
-    def test_parts_make_up_the_whole(self) -> None:
+    def test_parts_together_contain_every_cell_once(self) -> None:
         cells = cells_of(check_experiment(parse_toml(GOOD)))
         for count in (1, 2, 3, len(cells), len(cells) + 1):
             parts = [Part(number, count).select(cells) for number in range(1, count + 1)]
@@ -97,7 +97,7 @@
             self.assertEqual(len(joined), len(cells))
             self.assertEqual(set(joined), set(cells))
 
-    def test_parts_that_do_not_exist_are_refused(self) -> None:
+    def test_invalid_parts_are_rejected(self) -> None:
         self.assertEqual(Part.parse("2/3"), Part(2, 3))
         for text in ("", "0/3", "4/3", "1", "1/0", "a/b", "1/2/3"):
             with self.subTest(text), self.assertRaisesRegex(PartError, "give K/N"):
--- a/tests/unit/experiments/test_experiment_command.py
+++ b/tests/unit/experiments/test_experiment_command.py
@@ -72,7 +72,7 @@
         run = simulate(SCENARIOS["steady"], RunOptions(1, 2, 6, 12.0))
         self.assertEqual(first["figures"], json.loads(to_json(run)))
 
-    def test_join_refuses_missing_doubled_and_foreign_results(self) -> None:
+    def test_join_rejects_missing_duplicated_and_unexpected_results(self) -> None:
         output = self.directory / "out"
         output.mkdir()
         status, text = _call(str(self.file), *self._output("out"), "--join")
@@ -87,7 +87,7 @@
         _, text = _call(str(self.file), *self._output("out"), "--join")
         self.assertIn("part-1-of-1.jsonl cannot be read", text)
 
-    def test_wrong_calls_name_the_remedy(self) -> None:
+    def test_errors_name_the_remedy(self) -> None:
         output = self._output("out")
         status, text = _call(str(self.file), *output, "--part", "3/2")
         self.assertEqual(status, 1)
@@ -99,7 +99,7 @@
 
 
 class ReportTest(unittest.TestCase):
-    def test_report_shows_the_figures_and_is_the_same_each_time(self) -> None:
+    def test_report_contains_the_results_and_is_reproducible(self) -> None:
         definition = check_experiment(parse_toml(TINY))
         bad = {**FIGURES, "placement": "modulo", "violations": [VIOLATION], "broken_flows": 50}
         results = [
