--- a/src/beamloom/experiments/summary.py
+++ b/src/beamloom/experiments/summary.py
@@ -83,7 +83,7 @@
 def nodes_rows(results: Sequence[CellResult]) -> list[NodesRow]:
     """Return one row for each number of nodes, for the product's placement only.
 
-    Scenarios that did not run with every number of nodes are left out, for comparable rows.
+    Only scenarios that ran with every number of nodes are included, so that rows are comparable.
     """
     own = [result for result in results if _placement(result) == PRODUCT_PLACEMENT]
     common = _scenarios_at_every_size(own)
@@ -119,17 +119,18 @@
 
 
 def _with_every_placement(results: Sequence[CellResult]) -> list[CellResult]:
-    placements: dict[str, set[str]] = {}
-    ran: dict[tuple[str, int], set[str]] = {}
+    placements_by_scenario: dict[str, set[str]] = {}
+    placements_by_size: dict[tuple[str, int], set[str]] = {}
     for cell in (result.cell for result in results):
         if isinstance(cell, SimulationCell):
-            placements.setdefault(cell.scenario, set()).add(cell.placement)
-            ran.setdefault((cell.scenario, cell.nodes), set()).add(cell.placement)
+            placements_by_scenario.setdefault(cell.scenario, set()).add(cell.placement)
+            placements_by_size.setdefault((cell.scenario, cell.nodes), set()).add(cell.placement)
     return [
         result
         for result in results
         if isinstance(result.cell, SimulationCell)
-        and ran[result.cell.scenario, result.cell.nodes] == placements[result.cell.scenario]
+        and placements_by_size[result.cell.scenario, result.cell.nodes]
+        == placements_by_scenario[result.cell.scenario]
     ]
 
 
--- a/src/beamloom/object_api/errors.py
+++ b/src/beamloom/object_api/errors.py
@@ -10,7 +10,10 @@
 
 
 class StoreUnavailableError(PlatformError):
-    """The store refused a request or did not answer; a write of an object was not executed."""
+    """The store refused a request or could not be reached; no object was written.
+
+    It is also raised if the response to a read, or to a report about a machine, was lost.
+    """
 
     def __init__(self, detail: str) -> None:
         super().__init__(
--- a/src/beamloom/object_api/operator.py
+++ b/src/beamloom/object_api/operator.py
@@ -1,8 +1,8 @@
 """Conditional writes of operators, whose outcome is determined also after a lost response.
 
-Each write carries an operation id. It is reported as accepted only if the store confirmed it or the
-store's state or history shows it, and as not done only if it can no longer take effect. See
-docs/design/object-api.md.
+Each created or updated object carries the operation id of its write. A write is accepted only if
+the store confirmed it or the store's state or history shows it. EditConflictError is raised only if
+the write can no longer take effect. See docs/design/object-api.md.
 """
 
 from __future__ import annotations
--- a/src/beamloom/object_api/options.py
+++ b/src/beamloom/object_api/options.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """PEM files: the authority that signs the platform's certificate, and the client's own pair."""
+    """PEM files: authority of the platform's certificate, and the client's certificate and key."""
 
     authority: Path | None = None
     certificate: Path | None = None
