--- a/src/beamloom/object_api/client.py
+++ b/src/beamloom/object_api/client.py
@@ -215,7 +215,7 @@
         timeout = aiohttp.ClientTimeout(
             total=None,
             sock_connect=self._options.request_timeout_seconds,
-            sock_read=self._options.watch_silence_seconds,
+            sock_read=self._options.watch_idle_timeout_seconds,
         )
         parameters = {"revision": str(revision), "prefix": prefix}
         try:
--- a/src/beamloom/object_api/options.py
+++ b/src/beamloom/object_api/options.py
@@ -23,13 +23,13 @@
 class PlatformOptions:
     """The platform's URL, and the credentials, timeouts and retries of the client.
 
-    `watch_silence_seconds` must exceed the interval at which the platform sends empty batches.
+    `watch_idle_timeout_seconds` must exceed the interval at which the platform sends empty batches.
     """
 
     url: str
     token: str = field(repr=False)
     request_timeout_seconds: float = 2.0
-    watch_silence_seconds: float = 10.0
+    watch_idle_timeout_seconds: float = 10.0
     retry: RetryPolicy = field(default_factory=RetryPolicy)
     tls: TlsFiles | None = None
 
