--- a/src/beamloom/object_api/options.py
+++ b/src/beamloom/object_api/options.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """PEM files: the authority that signed the platform, and the client's own certificate."""
+    """PEM files: authority of the platform's certificate, and the client's certificate and key."""
 
     authority: Path | None = None
     certificate: Path | None = None
@@ -21,23 +21,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformOptions:
-    """Where the platform is and how patient the client is; times are in seconds.
+    """The platform's URL, and the credentials, timeouts and retries of the client.
 
-    `watch_silence_seconds` must exceed the interval at which the platform sends empty batches.
+    `watch_idle_timeout_seconds` must exceed the interval at which the platform sends empty batches.
     """
 
     url: str
     token: str = field(repr=False)
     request_timeout_seconds: float = 2.0
-    watch_silence_seconds: float = 10.0
+    watch_idle_timeout_seconds: float = 10.0
     retry: RetryPolicy = field(default_factory=RetryPolicy)
     tls: TlsFiles | None = None
 
 
 def client_tls_context(files: TlsFiles | None) -> ssl.SSLContext | None:
-    """Return the context for the configured files; raises TlsConfigurationError.
+    """Return the SSL context for the configured files; raises TlsConfigurationError.
 
-    None without files: an https URL is then checked against the system's authorities.
+    Without files the result is None, and https connections use the system's authorities.
     """
     if files is None:
         return None
--- a/src/beamloom/runtime/machine_list.py
+++ b/src/beamloom/runtime/machine_list.py
@@ -38,7 +38,7 @@
 
 
 class MachineList:
-    """Registers the machine, then sends a heartbeat and reads the list once per turn.
+    """Registers the machine, then sends a heartbeat and reads the list once per interval.
 
     `last_failure` is the reason why the latest request failed, or None if it succeeded.
     """
