--- a/src/beamloom/node/core.py
+++ b/src/beamloom/node/core.py
@@ -16,8 +16,8 @@
 from beamloom.node.configuration_follower import ConfigurationFollower
 from beamloom.node.control_channel import ControlChannel
 from beamloom.node.errors import UnknownEventError
-from beamloom.node.neighbours import ClientRefusals, ObservedHealth, PacketMetering, TenantGate
 from beamloom.node.options import NodeOptions
+from beamloom.node.routing_hooks import ObservedHealth, PacketMetering, RefusalPackets, TenantGate
 from beamloom.node.timers import ComponentGroup, ComponentTimers
 from beamloom.protocol.commands import Command, StopNode
 from beamloom.protocol.events import (
@@ -61,7 +61,7 @@
         self.gate = TenantGate(self.admission)
         self._health = ObservedHealth(self.watchers, now)
         self._metering = PacketMetering(self.admission)
-        hooks = RoutingHooks(self.gate, ClientRefusals(), self._health)
+        hooks = RoutingHooks(self.gate, RefusalPackets(), self._health)
         self.forwarder = Forwarder(machine, options.hash_key, options.gateways, hooks)
         self.channel = ControlChannel(
             node_id,
@@ -143,7 +143,7 @@
         """Whether packets may be sent to this node: it is configured and was not asked to stop."""
         return self.replica.ready and self._stop_deadline is None
 
-    def ask_in_force(self, revision: int, now: float) -> list[Command]:
+    def query_in_force(self, revision: int, now: float) -> list[Command]:
         """Start to collect where a revision is in force; the result is `fleet_status.in_force`."""
         self._configuration_group.invalidate()
         return self._finish(self.fleet_status.ask(revision, now), now)
@@ -210,7 +210,7 @@
         self._view_version = view.version
         self._timers.invalidate_all()
         members = [view.members[node_id] for node_id in sorted(view.members)]
-        answering = [member for member in members if member.answers]
+        answering = [member for member in members if member.is_reachable]
         self.replica.update_members(answering, now)
         self.fleet_status.update_members(answering, now)
         self.watchers.update_members(answering, now)
--- a/src/beamloom/node/token_core.py
+++ b/src/beamloom/node/token_core.py
@@ -1,8 +1,8 @@
 """The decision core of a token node: router, store views, reader election, view exchange.
 
 It performs no I/O. Its driver (asyncio on sockets, or the simulator) calls the store when the
-`*_turn` objects say so, passes answers to the `*_watch` objects and the resulting changes to
-`take_*`, and sends the messages that `take_sends` returns.
+`*_schedule` objects say so, passes answers to the `*_watch` objects and the resulting changes to
+`apply_*`, and sends the messages that `take_sends` returns.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from beamloom.node.backend_judge import BackendJudge
-from beamloom.node.belief_observer import FROM_PEER, FROM_STORE, BeliefObserver
+from beamloom.node.backend_failure_handler import BackendFailureHandler
 from beamloom.node.evacuation_follower import EvacuationChanges, EvacuationFollower
+from beamloom.node.node_observer import FROM_PEER, FROM_STORE, NodeObserver
 from beamloom.node.record_orders import BackendOrder, ConfigurationOrder
-from beamloom.replication.kept_words import KeptWords
 from beamloom.replication.object_watch import ObjectWatch
-from beamloom.replication.reader_duty import ReaderDuty
-from beamloom.replication.reading_times import ReadingTimes
-from beamloom.replication.reading_turn import ReadingTurn
+from beamloom.replication.reader_role import ReaderRole
+from beamloom.replication.retention_timer import RetentionTimer
+from beamloom.replication.store_call_schedule import StoreCallSchedule
+from beamloom.replication.store_call_times import StoreCallTimes
 from beamloom.replication.store_view import ObjectChange, StoreView
-from beamloom.routing.tokens.cold_starts import SENDERS_OF_A_BACKEND, ColdStartGate
+from beamloom.routing.tokens.cold_starts import SENDERS_PER_BACKEND, ColdStartGate
 from beamloom.routing.tokens.configuration_history import ConfigurationHistory
 from beamloom.routing.tokens.placement import Placement, PlacementSettings
 from beamloom.routing.tokens.records import BackendRecord, RoutingConfiguration
@@ -49,7 +49,7 @@
 
 Longer than a reachable store or peer takes to confirm a view.
 """
-MAX_FAULTY_ROUTES_LOGGED = 20
+MAXIMUM_FAULTY_ROUTES_LOGGED = 20
 """Routes with unreadable terms that are logged per configuration; the counter counts all terms."""
 LATE_SECONDS = 0.4
 """Gap between calls of `advance` above which this node reports no backend as silent or overdue."""
@@ -76,13 +76,13 @@
         zone: str,
         reader_id: str,
         configuration_name: str,
-        observer: BeliefObserver,
+        observer: NodeObserver,
         *,
-        chance: random.Random,
-        times: ReadingTimes,
+        rng: random.Random,
+        times: StoreCallTimes,
         placement: PlacementSettings | None = None,
         mechanisms: Mechanisms = ALL_MECHANISMS,
-        evacuation_times: ReadingTimes | None = None,
+        evacuation_times: StoreCallTimes | None = None,
         known_zones: Collection[str] = (),
         cold_starts: ColdStartLimits | None = None,
         capacity: Capacity = LEAST,
@@ -92,35 +92,35 @@
         self._mechanisms = mechanisms
         self._cold_starts = None if cold_starts is None else ColdStartGate(cold_starts)
         self.router = TokenRouter(
-            Placement(zone, placement or PlacementSettings(), chance, self._cold_starts),
+            Placement(zone, placement or PlacementSettings(), rng, self._cold_starts),
             observer.decision,
-            moves_copies=mechanisms.other_backend_for_copies,
-            leaves_zones=mechanisms.other_zone_for_copies,
-            refuses_too_late=mechanisms.timely_refusals,
+            retries_other_backend=mechanisms.other_backend_for_copies,
+            retries_other_zone=mechanisms.other_zone_for_copies,
+            refuses_on_timeout=mechanisms.timely_refusals,
         )
         self.router.may_refuse = False
-        self.router.backends.use_services(frozenset(), 0.0)
-        self._failure_handler = BackendJudge(self.router, observer, mechanisms)
+        self.router.backends.set_services(frozenset(), 0.0)
+        self._failure_handler = BackendFailureHandler(self.router, observer, mechanisms)
         self.checks = self._failure_handler.checks
-        self.duty = ReaderDuty(reader_id, chance, times, mechanisms)
+        self.role = ReaderRole(reader_id, rng, times, mechanisms)
         self.backends: StoreView[BackendRecord] = StoreView(BackendOrder(heartbeat_seconds))
         self.configuration: StoreView[RoutingConfiguration] = StoreView(ConfigurationOrder())
         # Never starts from a stale list: after a store outage backends register again one by one,
         # and the few on an old list would get all flows.
-        self.backend_watch = ObjectWatch(self.backends, chance)
+        self.backend_watch = ObjectWatch(self.backends, rng)
         self.configuration_watch = ObjectWatch(
-            self.configuration, chance, stale_start=mechanisms.stale_start
+            self.configuration, rng, stale_start=mechanisms.stale_start
         )
-        self.backend_turn = ReadingTurn(self.backend_watch, self.duty, chance, 0)
-        self.configuration_turn = ReadingTurn(self.configuration_watch, self.duty, chance, 1)
+        self.backend_schedule = StoreCallSchedule(self.backend_watch, self.role, rng, 0)
+        self.configuration_schedule = StoreCallSchedule(self.configuration_watch, self.role, rng, 1)
         self.evacuations: EvacuationFollower | None = None
         if evacuation_times is not None:
             self.evacuations = EvacuationFollower(
-                self.duty,
-                chance,
+                self.role,
+                rng,
                 evacuation_times,
                 known_zones,
-                leader=self.backend_watch,
+                depends_on=self.backend_watch,
                 is_seed=is_seed,
                 mechanisms=mechanisms,
             )
@@ -129,12 +129,12 @@
             self.evacuations.on_unknown_zone = observer.evacuation_of_unknown_zone
         self.exchange: ViewExchange | None = None
         self._configuration_history = ConfigurationHistory()
-        self._kept_backends = KeptWords(self.backends, self._apply_settled_backends)
+        self._retained_backends = RetentionTimer(self.backends, self._apply_settled_backends)
         self.catch_up_seconds = LatencyHistogram()
-        self.on_progress: Callable[[], None] = lambda: None
+        self.on_view_changed: Callable[[], None] = lambda: None
         self._configuration_name = configuration_name
         self._observer = observer
-        self._rng = chance
+        self._rng = rng
         self._zone = zone
         self._capacity = capacity
         self._cold_start_share: FleetShare | None = None
@@ -153,11 +153,11 @@
             and self.router.codec is not None
         )
 
-    def use_key(self, secret: bytes, *former: bytes) -> None:
-        """Mint tokens with `secret`; verify tokens of `secret` and of the `former` secrets."""
+    def set_secrets(self, secret: bytes, *older_secrets: bytes) -> None:
+        """Mint tokens with `secret`; verify tokens of `secret` and of the `older_secrets`."""
         binds_flows = self._mechanisms.flow_bound_tokens
-        self.router.codec = TokenCodec(secret, *former, binds_flows=binds_flows)
-        self.on_progress()
+        self.router.codec = TokenCodec(secret, *older_secrets, binds_flows=binds_flows)
+        self.on_view_changed()
 
     def join_peers(self, host: str, seeds: tuple[str, ...]) -> None:
         """Start to exchange views with other nodes.
@@ -171,7 +171,7 @@
         from beamloom.replication.shared_view import SharedView
         from beamloom.replication.view_exchange import ViewExchange
 
-        late_seconds = self.duty.times.late_seconds
+        late_seconds = self.role.times.late_seconds
         views: list[SharedView[Any]] = [
             SharedView(
                 self.backends,
@@ -195,21 +195,21 @@
             views.append(self.evacuations.make_shared_view(self._apply_evacuations))
         peers = PeerTable(host, seeds, self._rng, self._zone, self._capacity)
         by_capacity = self._mechanisms.capacity_roles
-        self.exchange = ViewExchange(views, peers, self.duty, self._rng, by_capacity=by_capacity)
+        self.exchange = ViewExchange(views, peers, self.role, self._rng, by_capacity=by_capacity)
         self.exchange.on_unusable_capacity = self._observer.unusable_capacity
         self._failure_handler.join(self.exchange)
         if self._cold_starts is not None:
             self._cold_start_share = FleetShare(
-                peers, SENDERS_OF_A_BACKEND, self._now, by_capacity=by_capacity
+                peers, SENDERS_PER_BACKEND, self._now, by_capacity=by_capacity
             )
-            self._cold_starts.is_sender = self._cold_start_share.holds
+            self._cold_starts.is_sender = self._cold_start_share.is_assigned
         self.exchange.pulls.catch_up_seconds = self.catch_up_seconds
 
     def has_stalled(self, now: float) -> bool:
         """Whether the last call of `advance` is longer ago than STALL_THRESHOLD_SECONDS."""
         return now - self._advanced_at > STALL_THRESHOLD_SECONDS
 
-    def take_stall(self, now: float) -> bool:
+    def consume_stall(self, now: float) -> bool:
         """Return whether the packets that are read next arrived during a stall.
 
         After a stall the event loop may run timers, and with them `advance`, before it reads the
@@ -231,14 +231,14 @@
         is_late = now - self._advanced_at > LATE_SECONDS
         self._advanced_at = self._now = now
         self._update_may_refuse(now)
-        self._kept_backends.advance(now)
+        self._retained_backends.advance(now)
         if self.evacuations is not None:
             self.evacuations.advance(now)
         self._failure_handler.advance(now, is_late=is_late)
         self.router.advance(now)
-        self.duty.peer_count = 0 if self.exchange is None else len(self.exchange.peers)
-        if self.duty.advance(now, joined=self.exchange is not None):
-            self._observer.reader_duty(self.duty.reading)
+        self.role.peer_count = 0 if self.exchange is None else len(self.exchange.peers)
+        if self.role.advance(now, joined=self.exchange is not None):
+            self._observer.reader_changed(self.role.reading)
         if self.exchange is not None:
             self.exchange.advance(now)
 
@@ -256,41 +256,41 @@
         """Return and clear the messages to be sent to peers."""
         return [] if self.exchange is None else self.exchange.take_sends()
 
-    def use_limits(self, state: str, before: str, limit: str, share: float) -> None:
+    def apply_limit_state(self, state: str, before: str, limit: str, share: float) -> None:
         """Shed or resume roles on a change of state in `node/own_limits.py`."""
-        self._observer.own_limits(state, before, limit, share)
+        self._observer.limit_state_changed(state, before, limit, share)
         if not self._mechanisms.capacity_roles:
             return
         answers = ANSWER_SHARES[state]
-        self.duty.sheds = answers < 1.0
+        self.role.is_shedding = answers < 1.0
         if self._cold_start_share is not None:
-            self._cold_start_share.sheds = answers < 1.0
+            self._cold_start_share.is_shedding = answers < 1.0
         if self.exchange is not None:
-            self.exchange.use_limits(answers)
+            self.exchange.limit_answers(answers)
 
-    def ask_to_stop(self, now: float) -> None:
+    def request_stop(self, now: float) -> None:
         """Wait for a turn to stop, and announce that to the nodes of this zone."""
         if self.exchange is not None:
-            self.exchange.ask_to_stop(now)
+            self.exchange.request_stop(now)
 
-    def may_go_away(self, now: float) -> bool:
+    def may_stop(self, now: float) -> bool:
         """Return whether this node may stop now; True without an exchange or turns to stop."""
         if self.exchange is None or not self._mechanisms.stop_turns:
             return True
-        return self.exchange.may_go_away(now)
+        return self.exchange.may_stop(now)
 
-    def go_away(self, now: float) -> None:
+    def announce_away(self, now: float) -> None:
         """Announce to the nodes of this zone that routers are to avoid this node."""
         if self.exchange is not None:
-            self.exchange.go_away(now)
+            self.exchange.announce_away(now)
 
-    def take_backends(self, changes: tuple[ObjectChange[BackendRecord], ...], now: float) -> None:
+    def apply_backends(self, changes: tuple[ObjectChange[BackendRecord], ...], now: float) -> None:
         """Apply the changes of a store answer and announce the view's revision to peers."""
         self._now = now
         self._apply_backends(changes, FROM_STORE)
         self._note_answer(now)
 
-    def take_configuration(
+    def apply_configuration(
         self, changes: tuple[ObjectChange[RoutingConfiguration], ...], now: float
     ) -> None:
         """Apply the changes of a store answer and announce the view's revision to peers."""
@@ -298,7 +298,7 @@
         self._apply_configuration(changes, FROM_STORE)
         self._note_answer(now)
 
-    def take_evacuations(self, changes: EvacuationChanges, now: float) -> None:
+    def apply_evacuations(self, changes: EvacuationChanges, now: float) -> None:
         """Apply the changes of a store answer and announce the view's revision to peers."""
         self._now = now
         self._apply_evacuations(changes)
@@ -310,7 +310,7 @@
 
     def _note_answer(self, now: float) -> None:
         self._update_may_refuse(now)
-        self.duty.note_answer(now)
+        self.role.note_answer(now)
         if self.exchange is not None:
             self.exchange.announce(now)
 
@@ -334,10 +334,10 @@
 
     def _invalidate_confirmations(self) -> None:
         """Require new answers of the store: data of peers that is read after a stall may be old."""
-        self.backend_turn.distrust()
-        self.configuration_turn.distrust()
+        self.backend_schedule.discard_confirmation()
+        self.configuration_schedule.discard_confirmation()
         if self.evacuations is not None:
-            self.evacuations.turn.distrust()
+            self.evacuations.schedule.discard_confirmation()
 
     def _apply_settled_backends(
         self, changes: tuple[ObjectChange[BackendRecord], ...], now: float
@@ -358,7 +358,7 @@
             elif self.router.backends.update(change.record, change.revision, self._now):
                 self._observer.backend_changed(change.record, change.revision, source)
                 self._failure_handler.recheck_listed(change.name, self._now)
-        self.on_progress()
+        self.on_view_changed()
 
     def _apply_configuration(
         self, changes: tuple[ObjectChange[RoutingConfiguration], ...], source: str
@@ -366,19 +366,19 @@
         for change in changes:
             if change.record is None or change.name != self._configuration_name:
                 continue
-            if change.record.tells_terms:
+            if change.record.includes_terms:
                 # A version that came without the routes' terms is no base for differences: what
                 # is derived from it would lack the terms as well.
                 self._configuration_history.note(change.record)
             before = self.router.routes.version
-            if self.router.put_in_force(change.record):
-                self.router.backends.use_services(change.record.services, self._now)
+            if self.router.activate(change.record):
+                self.router.backends.set_services(change.record.services, self._now)
                 if self._cold_starts is not None:
-                    self._cold_starts.use_rates(change.record.warm_ups)
+                    self._cold_starts.set_rates(change.record.warm_ups)
                 version, routes = change.record.version, len(change.record.routes)
                 self._observer.configuration(version, before, routes, source)
                 self._report_unreadable_terms(change.record)
-        self.on_progress()
+        self.on_view_changed()
 
     def _report_unreadable_terms(self, record: RoutingConfiguration) -> None:
         """Count the terms that are replaced by defaults, and report the first such routes."""
@@ -386,5 +386,5 @@
         count = sum(len(route.terms.unreadable) for route in faulty)
         if count:
             self.router.counters["terms_unreadable"] += count
-        for route in faulty[:MAX_FAULTY_ROUTES_LOGGED]:
+        for route in faulty[:MAXIMUM_FAULTY_ROUTES_LOGGED]:
             self._observer.terms_unreadable(route.name, record.version, route.terms.unreadable)
--- a/src/beamloom/replication/backend_status/watchers.py
+++ b/src/beamloom/replication/backend_status/watchers.py
@@ -51,10 +51,10 @@
 
     watched: int
     records: int
-    distrusts_itself: bool
+    suspects_local_fault: bool
     unknown_records: int
-    refusals_seen: int
-    answer_times_seen: int
+    refusals: int
+    answer_times: int
     contradicted: int
     gossip: GossipStatus
 
@@ -95,7 +95,7 @@
     def update_members(self, members: Iterable[Member], now: float) -> None:
         """Update the gossip peers, and the watched backends if the candidate watchers changed."""
         listed = tuple(members)
-        others = [item.machine.node_id for item in listed if item.answers]
+        others = [item.machine.node_id for item in listed if item.is_reachable]
         self._gossip.update_peers([node for node in others if node != self._node_id])
         if self._assignment.update_members(listed):
             self._update_watched(now)
@@ -210,10 +210,10 @@
         return BackendWatchersStatus(
             watched=self._checker.watched_count,
             records=len(self._register),
-            distrusts_itself=self._checker.suspects_local_fault,
+            suspects_local_fault=self._checker.suspects_local_fault,
             unknown_records=self._unknown_records,
-            refusals_seen=self._refusals_seen,
-            answer_times_seen=self._answer_times_seen,
+            refusals=self._refusals_seen,
+            answer_times=self._answer_times_seen,
             contradicted=sum(inputs.contradicted for inputs in self._inputs.values()),
             gossip=self._gossip.snapshot(),
         )
--- a/src/beamloom/routing/tokens/backend_fields.py
+++ b/src/beamloom/routing/tokens/backend_fields.py
@@ -22,17 +22,17 @@
 """An octet has 8 bits."""
 SLOT_LIMIT = 1 << 16
 """Exceeds the number of concurrent requests of any backend."""
-MAX_WARM_UP_MILLISECONDS = 3_600_000
+MAXIMUM_WARM_UP_MILLISECONDS = 3_600_000
 """One hour; longer warm-ups are rejected as implausible."""
 INTEGER_LIMIT = 1 << 53
 """JSON implementations agree on integers below this (RFC 8259, section 6)."""
 
 
 class BackendFieldError(ValueError):
-    """A field of a store entry is missing or invalid."""
+    """A field of a store entry is missing or invalid; its writer must correct the entry."""
 
     def __init__(self, field: str, value: object) -> None:
-        super().__init__(f"{field} = {value!r:.80}: whoever writes this entry must correct it")
+        super().__init__(f"{field} = {value!r:.80}: the writer of this entry must correct it")
 
 
 def read_backend(name: str, fields: Mapping[str, object]) -> BackendRecord:
@@ -57,7 +57,7 @@
     )
 
 
-def plain_backend(record: BackendRecord) -> dict[str, object]:
+def encode_backend_fields(record: BackendRecord) -> dict[str, object]:
     """Return the fields that `read_backend` reads, without `born_at` if it is unknown."""
     values: dict[str, object] = {
         "service": record.service,
@@ -102,7 +102,7 @@
     value = fields.get("warm_up")
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise BackendFieldError("warm_up", value)
-    if not 0 <= value <= MAX_WARM_UP_MILLISECONDS:
+    if not 0 <= value <= MAXIMUM_WARM_UP_MILLISECONDS:
         raise BackendFieldError("warm_up", value)
     return value / MILLISECONDS
 
--- a/src/beamloom/routing/tokens/liveness.py
+++ b/src/beamloom/routing/tokens/liveness.py
@@ -1,8 +1,8 @@
 """Schedules TCP checks of backends that may be dead, and applies their outcomes.
 
-Without I/O: `begin` is called for each check to make, and `take` receives its outcome. Suspicions
-are cheap and often wrong (an unanswered opening, a repeated request, a report of another node);
-flows are ended only on the outcome of this node's own check.
+Without I/O: `start_check` is called for each check to make, and `apply_outcome` receives its
+outcome. Suspicions are cheap and often wrong (an unanswered opening, a repeated request, a report
+of another node); flows are ended only on the outcome of this node's own check.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from beamloom.routing.tokens.backend_table import Backend
 
-MAX_CONCURRENT_CHECKS = 8
+MAXIMUM_CONCURRENT_CHECKS = 8
 """Each check uses a file descriptor and processor time."""
-MAX_QUEUED_CHECKS = 256
-"""Exceeds the backends in two zones of the largest simulated deployments."""
+MAXIMUM_QUEUED_CHECKS = 256
+"""Exceeds the backends of two zones of a large deployment."""
 RECHECK_SECONDS = 0.5
 """Initial time until a backend is checked again; doubled by each check with the same result."""
-MAX_RECHECK_SECONDS = 2.0
+MAXIMUM_RECHECK_SECONDS = 2.0
 """Bounds the time until a backend that can be reached again gets new flows."""
 ZONE_WINDOW_SECONDS = 1.0
 ZONE_DOWN_BACKENDS = 3
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self.counters: Counter[str] = Counter()
-        self.begin: Callable[[Backend], None] = lambda backend: None
+        self.start_check: Callable[[Backend], None] = lambda backend: None
         self.on_down: Callable[[Backend, CheckOutcome, float], None] = lambda *_: None
         self.on_up: Callable[[Backend, float], None] = lambda *_: None
         self._running: dict[str, float] = {}
@@ -70,20 +70,15 @@
     def suspect(self, backend: Backend, suspicion: Suspicion, now: float) -> None:
         """Request a check of a backend, unless one is running or was made too recently."""
         name = backend.record.name
-        if (
-            backend.forgotten
-            or backend.ended
-            or name in self._running
-            or now < backend.next_check_at
-        ):
+        if backend.removed or backend.ended or name in self._running or now < backend.next_check_at:
             return
         self.counters[f"suspected_{suspicion.value}"] += 1
         backend.next_check_at = now + RECHECK_SECONDS
         if backend.gone_at is not None:
             self._watched[name] = backend
-        if len(self._running) < MAX_CONCURRENT_CHECKS:
+        if len(self._running) < MAXIMUM_CONCURRENT_CHECKS:
             self._start(backend, now)
-        elif len(self._queued) < MAX_QUEUED_CHECKS:
+        elif len(self._queued) < MAXIMUM_QUEUED_CHECKS:
             self._queued[name] = backend
 
     def watch(self, backend: Backend, now: float) -> None:
@@ -92,11 +87,11 @@
         backend.next_check_at = now
         self.suspect(backend, Suspicion.RECHECK, now)
 
-    def take(self, backend: Backend, outcome: CheckOutcome, now: float) -> None:
+    def apply_outcome(self, backend: Backend, outcome: CheckOutcome, now: float) -> None:
         """Apply the outcome of a check."""
         began_at = self._running.pop(backend.record.name, now)
         self._start_next(now)
-        if backend.forgotten or backend.ended:
+        if backend.removed or backend.ended:
             return
         if outcome is CheckOutcome.SILENT and backend.last_alive_at >= began_at:
             outcome = CheckOutcome.UNCLEAR
@@ -129,12 +124,12 @@
 
     def _start(self, backend: Backend, now: float) -> None:
         self._running[backend.record.name] = now
-        self.begin(backend)
+        self.start_check(backend)
 
     def _start_next(self, now: float) -> None:
-        while self._queued and len(self._running) < MAX_CONCURRENT_CHECKS:
+        while self._queued and len(self._running) < MAXIMUM_CONCURRENT_CHECKS:
             backend = self._queued.pop(next(iter(self._queued)))
-            if not backend.forgotten and not backend.ended:
+            if not backend.removed and not backend.ended:
                 self._start(backend, now)
 
     def _note_alive(self, backend: Backend, now: float) -> None:
@@ -159,14 +154,14 @@
         self.on_down(backend, outcome, now)
 
     def _schedule_recheck(self, backend: Backend, now: float) -> None:
-        interval = min(MAX_RECHECK_SECONDS, RECHECK_SECONDS * 2**backend.repeated_outcomes)
+        interval = min(MAXIMUM_RECHECK_SECONDS, RECHECK_SECONDS * 2**backend.repeated_outcomes)
         backend.repeated_outcomes = min(backend.repeated_outcomes + 1, 8)
         backend.next_check_at = now + interval
 
 
 def _needs_recheck(backend: Backend) -> bool:
     """Whether another check may affect flows."""
-    if backend.forgotten or backend.ended:
+    if backend.removed or backend.ended:
         return False
     if backend.gone_at is not None:
         return backend.down_since is None and backend.open > 0
--- a/src/beamloom/runtime/backend_check.py
+++ b/src/beamloom/runtime/backend_check.py
@@ -14,7 +14,7 @@
 from beamloom.routing.tokens.liveness import CheckOutcome, LivenessChecks
 from beamloom.runtime.connection_limits import CHECK_ATTEMPT_SECONDS, CHECK_ATTEMPTS
 
-MAX_LOOP_DELAY_SECONDS = 0.03
+MAXIMUM_LOOP_DELAY_SECONDS = 0.03
 """If the event loop ran later than this, an answer may have arrived in time but not been read."""
 
 
@@ -28,7 +28,7 @@
         self._local_host = local_host
         self._on_done = on_done
         self._tasks: set[asyncio.Task[None]] = set()
-        checks.begin = self._start
+        checks.start_check = self._start
 
     def close(self) -> None:
         """Cancel the running checks."""
@@ -46,7 +46,7 @@
             outcome = await _connect(backend.record.address, self._local_host)
             if outcome is not CheckOutcome.SILENT:
                 break
-        self._checks.take(backend, outcome, asyncio.get_running_loop().time())
+        self._checks.apply_outcome(backend, outcome, asyncio.get_running_loop().time())
         self._on_done()
 
 
@@ -63,7 +63,7 @@
     except TimeoutError:
         return (
             CheckOutcome.SILENT
-            if loop.time() - due < MAX_LOOP_DELAY_SECONDS
+            if loop.time() - due < MAXIMUM_LOOP_DELAY_SECONDS
             else CheckOutcome.UNCLEAR
         )
     except (ConnectionRefusedError, ConnectionResetError):
--- a/src/beamloom/runtime/store_follower.py
+++ b/src/beamloom/runtime/store_follower.py
@@ -19,7 +19,7 @@
 from beamloom.node.token_core import TokenCore
 from beamloom.platform import store_objects
 from beamloom.replication.object_watch import ObjectWatch
-from beamloom.replication.reading_turn import ReadingTurn
+from beamloom.replication.store_call_schedule import StoreCallSchedule
 from beamloom.replication.store_view import ObjectChange
 from beamloom.runtime.connection_limits import ConnectionKind
 from beamloom.runtime.decision_log import DecisionLog
@@ -87,28 +87,30 @@
         self._lost_peers = False
         self.secret = FleetSecret(
             settings,
-            core.duty,
+            core.role,
             rng,
             self._connect(ConnectionKind.SECRET),
             self._open_link,
             decisions=decisions,
-            asks_peers=mechanisms.key_from_peers,
+            requests_from_peers=mechanisms.key_from_peers,
         )
         self.secret.on_change = self._apply_secrets
         self.readers: list[StoreReader[Any]] = [
-            self._make_reader(_BACKENDS, core.backend_watch, core.backend_turn, core.take_backends),
+            self._make_reader(
+                _BACKENDS, core.backend_watch, core.backend_schedule, core.apply_backends
+            ),
             self._make_reader(
                 _CONFIGURATION,
                 core.configuration_watch,
-                core.configuration_turn,
-                core.take_configuration,
+                core.configuration_schedule,
+                core.apply_configuration,
             ),
         ]
         evacuations = core.evacuations
         if evacuations is not None:
             self.readers.append(
                 self._make_reader(
-                    _EVACUATIONS, evacuations.watch, evacuations.turn, core.take_evacuations
+                    _EVACUATIONS, evacuations.watch, evacuations.schedule, core.apply_evacuations
                 )
             )
 
@@ -119,7 +121,7 @@
                 connection.use(*settings.store.pair)
         self._settings = self.secret.settings = settings
         if self._core.exchange is not None:
-            self._core.exchange.peers.use_seeds(settings.seeds)
+            self._core.exchange.peers.set_seeds(settings.seeds)
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
@@ -169,7 +171,7 @@
     async def _follow_secret(self) -> None:
         """Get the fleet's secret, join the peers, then keep the secret in the store."""
         is_from_store = await self.secret.fetch()
-        self._core.use_key(*self.secret.known)
+        self._core.set_secrets(*self.secret.known)
         if is_from_store:
             await asyncio.sleep(JOIN_PEERS_AFTER_SECONDS)
         await import_gradually()
@@ -178,9 +180,9 @@
 
     def _apply_secrets(self) -> None:
         """Use the current secrets for tokens, peer messages and requests for the secret."""
-        self._core.use_key(*self.secret.known)
+        self._core.set_secrets(*self.secret.known)
         if self.link is not None:
-            self.link.use_keys(tuple(map(_peer_key, self.secret.known)))
+            self.link.set_keys(tuple(map(_peer_key, self.secret.known)))
         self.secret.start_answering()
 
     def _open_link(self) -> PeerLink | None:
@@ -190,7 +192,7 @@
         from beamloom.runtime.peer_link import PeerLink
 
         settings = self._settings
-        sender = self._core.duty.reader_id
+        sender = self._core.role.reader_id
         try:
             self.link = PeerLink(
                 settings.host,
@@ -213,7 +215,7 @@
         try:
             self._core.handle_message(host, message, _now())
         except (TypeError, ValueError) as error:
-            self._decisions.life("PeerMessageRefused", host=host, reason=repr(error))
+            self._decisions.lifecycle("PeerMessageRefused", host=host, reason=repr(error))
         self.send()
 
     def _handle_unsigned(self, host: str, message: Message) -> None:
@@ -230,11 +232,11 @@
         self,
         kind: KindFormat[Record],
         watch: ObjectWatch[Record],
-        turn: ReadingTurn,
+        schedule: StoreCallSchedule,
         apply_changes: Callable[[tuple[ObjectChange[Record], ...], float], None],
     ) -> StoreReader[Record]:
         connection = self._connect(ConnectionKind(kind.label))
-        reader = StoreReader(watch, kind, connection, turn)
+        reader = StoreReader(watch, kind, connection, schedule)
         dependency = f"store {kind.label}"
         reader.on_failure = functools.partial(self._decisions.dependency_lost, dependency)
         reader.on_unreadable = functools.partial(self._decisions.object_unreadable, kind.label)
@@ -254,7 +256,7 @@
         connection = HttpConnection(
             *settings.store.pair,
             local_host=settings.host,
-            notices_silence=self._mechanisms.silence_probes,
+            detects_silence=self._mechanisms.silence_probes,
         )
         connection.on_silence = functools.partial(self._record_silence, kind)
         self._connections.append(connection)
--- a/src/beamloom/standins/flow_packets.py
+++ b/src/beamloom/standins/flow_packets.py
@@ -14,7 +14,7 @@
     IDENTITY,
 )
 
-LARGEST_DATA = 1200
+MAXIMUM_DATA_SIZE = 1200
 _FLAG_NAMES = ((FLAG_SYN, "SYN"), (FLAG_ACK, "ACK"), (FLAG_FIN, "FIN"), (FLAG_RST, "RST"))
 
 
@@ -46,7 +46,7 @@
     checksum: int = 0
 
     @property
-    def is_intact(self) -> bool:
+    def has_valid_checksum(self) -> bool:
         """Whether `checksum` matches the packet."""
         return self.checksum == self.expected_checksum()
 
--- a/src/beamloom/standins/token_endpoint.py
+++ b/src/beamloom/standins/token_endpoint.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from beamloom.platform.packet_layout import FLAG_ACK, FLAG_FIN, FLAG_RST, FLAG_SYN
-from beamloom.standins.flow_packets import LARGEST_DATA, FlowEnd, FlowPacket
+from beamloom.standins.flow_packets import MAXIMUM_DATA_SIZE, FlowEnd, FlowPacket
 
 INITIAL_RETRANSMIT_SECONDS = 0.2
 MAXIMUM_RETRANSMIT_SECONDS = 1.6
@@ -79,7 +79,7 @@
     def _fault(self, identity: int, packet: FlowPacket) -> str | None:
         if identity not in (0, self.identity):
             return "other_incarnation"
-        return None if packet.is_intact else "altered"
+        return None if packet.has_valid_checksum else "altered"
 
     def _continue(
         self, key: FlowKey, flow: _Flow, packet: FlowPacket, now: float
@@ -138,8 +138,8 @@
     ) -> list[FlowPacket]:
         head = f"{request_id} {self.name} ".encode()
         body = head + b"." * max(0, size - len(head))
-        for start in range(0, len(body), LARGEST_DATA):
-            data = body[start : start + LARGEST_DATA]
+        for start in range(0, len(body), MAXIMUM_DATA_SIZE):
+            data = body[start : start + MAXIMUM_DATA_SIZE]
             flow.unacknowledged.append(self._packet(key, flow, FLAG_ACK, data))
             flow.next_sequence += len(data)
         flow.retransmits = 0
--- a/tests/functional/test_mechanisms.py
+++ b/tests/functional/test_mechanisms.py
@@ -15,7 +15,7 @@
 READER_STARTED_SECONDS = 3.0
 """After this time a node without peers is a reader, and its watches wait for changes."""
 WATCH_DEADLINE_SECONDS = 2.9
-"""With bounds of 5 s: a wait of 2.2 s (see `reading_times`) plus CALL_PATIENCE_SECONDS (0.7 s)."""
+"""With bounds of 5 s: wait of 2.2 s (see `store_call_times`) plus CALL_TIMEOUT_SECONDS (0.7 s)."""
 LATE_OPENINGS = 'event="dropped_late_opening"'
 NO_KEY = 'event="dropped_no_key"'
 
--- a/tests/unit/routing/test_balanced_requests.py
+++ b/tests/unit/routing/test_balanced_requests.py
@@ -12,11 +12,11 @@
 from beamloom.model.addresses import SocketAddress, TransportProtocol, VirtualAddress
 from beamloom.model.contracts import ServicePolicy
 from beamloom.model.machines import Member, MemberState
-from beamloom.node.neighbours import ClientRefusals
+from beamloom.node.routing_hooks import RefusalPackets
 from beamloom.protocol.commands import Command, SendPacket
 from beamloom.routing.forwarder import Forwarder
-from beamloom.routing.hooks import AssumedHealth, PermissiveAdmission, RoutingHooks
-from beamloom.routing.ownership import ALONE_SECONDS
+from beamloom.routing.hooks import PermissiveAdmission, RoutingHooks, StaticHealth
+from beamloom.routing.ownership import JOIN_WAIT_SECONDS
 from beamloom.standins.backend_model import BackendModel, BackendOptions
 from beamloom.standins.client_model import Outcome
 from beamloom.standins.client_request import RequestFlow, RequestOptions
@@ -25,7 +25,7 @@
 from tests.unit.standin_network import CLIENT, Network, make_backend
 
 SERVICE = VirtualAddress(SERVICE_IP, TransportProtocol.TCP, PORT)
-SLOW = BackendOptions(slots=1, queue_limit=8, service_time=lambda request, chance: 5.0)
+SLOW = BackendOptions(slots=1, queue_limit=8, service_time=lambda request, rng: 5.0)
 DEADLINE = 2.0
 TICK = 0.1
 
@@ -35,13 +35,13 @@
 
     def __init__(self, model: BackendModel, deadline: float = DEADLINE) -> None:
         super().__init__(model)
-        hooks = RoutingHooks(PermissiveAdmission(), ClientRefusals(), AssumedHealth())
+        hooks = RoutingHooks(PermissiveAdmission(), RefusalPackets(), StaticHealth())
         self.forwarder = Forwarder(machine(0), b"key", (GATEWAY,), hooks)
         policy = ServicePolicy(request_deadline=deadline)
         self.forwarder.update_services([service([[backend(1)]], policy=policy)], [], 0.0)
         self.forwarder.update_members([Member(machine(0), MemberState.ALIVE, 0)], 0.0)
         self._tick()
-        self.run(ALONE_SECONDS + 1.0)
+        self.run(JOIN_WAIT_SECONDS + 1.0)
         self.started = self.now
 
     def run_for(self, seconds: float) -> None:
--- a/tests/unit/tokens/builders.py
+++ b/tests/unit/tokens/builders.py
@@ -6,7 +6,7 @@
 from beamloom.node.token_core import TokenCore
 from beamloom.replication.fleet_share import FleetShare
 from beamloom.replication.peer_table import PeerTable
-from beamloom.replication.reading_times import evacuation_reading_times, reading_times
+from beamloom.replication.store_call_times import evacuation_store_call_times, store_call_times
 from beamloom.replication.store_view import NamedRecord, ObjectChange
 from beamloom.routing.tokens.decisions import Decision
 from beamloom.routing.tokens.packets import (
@@ -74,7 +74,7 @@
 
 def put_terms_in_force(core: TokenCore, terms: RouteTerms) -> None:
     """Activate a next version of the configuration of `make_core` with these terms."""
-    core.router.put_in_force(with_terms(core.router.routes.version + 1, terms))
+    core.router.activate(with_terms(core.router.routes.version + 1, terms))
 
 
 def many_routes(version: int, count: int, changed: int = 0) -> RoutingConfiguration:
@@ -132,7 +132,7 @@
     placement = Placement(ZONE, settings or PlacementSettings(), random.Random(seed))
     router = TokenRouter(placement, recorded.append)
     router.codec = TokenCodec(KEY)
-    router.put_in_force(configuration(version, *services))
+    router.activate(configuration(version, *services))
     for revision, record in enumerate(records):
         router.backends.update(record, revision, now=0.0)
     return router
@@ -153,14 +153,14 @@
     """Return a core that has just started; with `evacuate_seconds`, it follows evacuations."""
     evacuation_times = None
     if evacuate_seconds is not None:
-        evacuation_times = evacuation_reading_times(evacuate_seconds)
+        evacuation_times = evacuation_store_call_times(evacuate_seconds)
     return TokenCore(
         ZONE,
         "5-node",
         "main",
         QuietObserver(),
-        chance=random.Random(1),
-        times=reading_times(),
+        rng=random.Random(1),
+        times=store_call_times(),
         mechanisms=mechanisms,
         evacuation_times=evacuation_times,
         cold_starts=cold_starts,
@@ -178,12 +178,12 @@
 def make_core(mechanisms: Mechanisms, *records: BackendRecord) -> TokenCore:
     """Return a core with the backends and a route for DESTINATION, both not confirmed yet."""
     core = new_core(mechanisms)
-    core.use_key(KEY)
+    core.set_secrets(KEY)
     core.backends.replace([NamedRecord(record.name, 3, record) for record in records], 9)
-    core.take_backends(tuple(ObjectChange(record.name, 3, record) for record in records), 10.0)
+    core.apply_backends(tuple(ObjectChange(record.name, 3, record) for record in records), 10.0)
     change = make_change(3, configuration(1, "tracker"))
     core.configuration.replace([NamedRecord("main", 3, configuration(1, "tracker"))], 9)
-    core.take_configuration((change,), 10.0)
+    core.apply_configuration((change,), 10.0)
     return core
 
 
--- a/tests/unit/views/test_pull_choice.py
+++ b/tests/unit/views/test_pull_choice.py
@@ -4,7 +4,7 @@
 import unittest
 
 from beamloom.protocol.view_messages import AskElsewhere, ViewDigest, ViewPart, ViewRequest
-from beamloom.replication.answer_budget import MOST_REFERRALS, AnswerBudget
+from beamloom.replication.answer_budget import MAXIMUM_REFERRALS, AnswerBudget
 from beamloom.replication.peer_table import MAXIMUM_FAN_OUT, PeerTable
 from beamloom.replication.pull_choice import UNANSWERED_AVOID_SECONDS, PendingRequest, PullChoice
 from beamloom.replication.store_view import NamedRecord
@@ -163,20 +163,20 @@
     def test_over_budget_a_node_refers_first_attempts_and_answers_later_ones(self) -> None:
         self.assertEqual(self.ask("10.0.0.2"), {ViewPart})
         self.assertEqual(self.ask("10.0.0.3"), {AskElsewhere})
-        self.assertEqual(self.ask("10.0.0.3", attempt=MOST_REFERRALS), {ViewPart})
+        self.assertEqual(self.ask("10.0.0.3", attempt=MAXIMUM_REFERRALS), {ViewPart})
         for _ in range(5):
-            self.ask("10.0.0.4", attempt=MOST_REFERRALS)
-        self.assertEqual(self.ask("10.0.0.4", attempt=MOST_REFERRALS), {AskElsewhere})
+            self.ask("10.0.0.4", attempt=MAXIMUM_REFERRALS)
+        self.assertEqual(self.ask("10.0.0.4", attempt=MAXIMUM_REFERRALS), {AskElsewhere})
 
     def test_at_share_zero_it_refers_until_the_last_attempt(self) -> None:
-        self.node.exchange.use_limits(0.0)
-        self.assertEqual(self.ask("10.0.0.2", attempt=MOST_REFERRALS), {AskElsewhere})
-        self.assertEqual(self.ask("10.0.0.2", attempt=MOST_REFERRALS + 1), {ViewPart})
+        self.node.exchange.limit_answers(0.0)
+        self.assertEqual(self.ask("10.0.0.2", attempt=MAXIMUM_REFERRALS), {AskElsewhere})
+        self.assertEqual(self.ask("10.0.0.2", attempt=MAXIMUM_REFERRALS + 1), {ViewPart})
 
     def test_a_node_without_peers_answers(self) -> None:
         lone = Node("10.0.0.1", [], random.Random(1))
         lone.view.replace([], 5)
-        lone.exchange.use_limits(0.0)
+        lone.exchange.limit_answers(0.0)
         lone.exchange.handle("10.0.0.2", ViewRequest(0, -1), 1.0)
         self.assertTrue(any(isinstance(s.message, ViewPart) for s in lone.exchange.take_sends()))
 
@@ -206,7 +206,7 @@
         network.run(6.0)
         nodes = list(network.nodes.values())
         for node in nodes[:4]:
-            node.exchange.use_limits(0.0)
+            node.exchange.limit_answers(0.0)
         network.learn(nodes[0], backend(1), revision=5)
         network.run(1.0)
         self.assertEqual(network.share_at(5), 1.0)
--- a/tests/unit/views/test_store_reader.py
+++ b/tests/unit/views/test_store_reader.py
@@ -8,13 +8,13 @@
 from beamloom.replication.object_watch import ChangeBatch, ListPage
 from beamloom.routing.tokens.records import BackendRecord
 from beamloom.runtime.connection_limits import CallLimits
-from beamloom.runtime.http_client import CallFailedError, CallFailure, HttpAnswer, HttpConnection
+from beamloom.runtime.http_client import CallFailedError, CallFailure, HttpConnection, HttpResponse
 from beamloom.runtime.store_reader import KindFormat, StoreReader
 from tests.unit.tokens.builders import new_core
 
 LIST_PATH = "list"
 REVISION = 7
-LONGEST_SECONDS = 5.0
+MAXIMUM_SECONDS = 5.0
 
 BACKENDS = KindFormat[BackendRecord](
     "backends",
@@ -38,7 +38,7 @@
 
     async def call(
         self, method: str, path: str, limits: CallLimits, body: bytes = b""
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         if not self._script:
             self.exhausted.set()
             await asyncio.Event().wait()
@@ -47,22 +47,22 @@
         failure = self._script.pop(0)
         if failure is not None:
             raise CallFailedError(failure, "scripted")
-        return HttpAnswer(200, b"", {b"store-era": b"4"})
+        return HttpResponse(200, b"", {b"store-era": b"4"})
 
 
 class StoreReaderTest(unittest.IsolatedAsyncioTestCase):
     async def read(self, *script: CallFailure | None) -> tuple[_ScriptedConnection, list[str]]:
         """Run a reader against a script; return the connection and the reported failures."""
         core = new_core()
-        core.duty.reading = True
+        core.role.reading = True
         connection = _ScriptedConnection(script)
-        reader = StoreReader(core.backend_watch, BACKENDS, connection, core.backend_turn)
+        reader = StoreReader(core.backend_watch, BACKENDS, connection, core.backend_schedule)
         failures: list[str] = []
         reader.on_failure = lambda reason, count: failures.append(reason)
-        reader.on_answer = lambda changes: core.duty.note_answer(asyncio.get_running_loop().time())
+        reader.on_answer = lambda changes: core.role.note_answer(asyncio.get_running_loop().time())
         task = asyncio.create_task(reader.run())
         try:
-            await asyncio.wait_for(connection.exhausted.wait(), LONGEST_SECONDS)
+            await asyncio.wait_for(connection.exhausted.wait(), MAXIMUM_SECONDS)
         finally:
             task.cancel()
             await asyncio.wait({task})
@@ -90,13 +90,13 @@
 
     async def test_a_new_era_of_the_store_is_reported_once(self) -> None:
         core = new_core()
-        core.duty.reading = True
+        core.role.reading = True
         connection = _ScriptedConnection((None, None, None))
-        reader = StoreReader(core.backend_watch, BACKENDS, connection, core.backend_turn)
+        reader = StoreReader(core.backend_watch, BACKENDS, connection, core.backend_schedule)
         eras: list[int] = []
         reader.on_era = eras.append
         task = asyncio.create_task(reader.run())
-        await asyncio.wait_for(connection.exhausted.wait(), LONGEST_SECONDS)
+        await asyncio.wait_for(connection.exhausted.wait(), MAXIMUM_SECONDS)
         task.cancel()
         await asyncio.wait({task})
         self.assertEqual(eras, [4])
--- a/tools/soak_broken_builds.py
+++ b/tools/soak_broken_builds.py
@@ -67,26 +67,26 @@
 """
 NEVER_STALE = """
 def change(module):
-    module.ReadingTurn._is_stale = lambda *_: False
-patch("beamloom.replication.reading_turn", change)
+    module.StoreCallSchedule._is_stale = lambda *_: False
+patch("beamloom.replication.store_call_schedule", change)
 """
 FIRST_READERS_ONLY = """
 def change(module):
-    advance = module.ReaderDuty.advance
-    def advance_at_first(duty, now, *, joined=True):
-        if now - duty.__dict__.setdefault("first_at", now) > 4.0:
+    advance = module.ReaderRole.advance
+    def advance_at_first(role, now, *, joined=True):
+        if now - role.__dict__.setdefault("first_at", now) > 4.0:
             return False
-        return advance(duty, now, joined=joined)
-    module.ReaderDuty.advance = advance_at_first
-patch("beamloom.replication.reader_duty", change)
+        return advance(role, now, joined=joined)
+    module.ReaderRole.advance = advance_at_first
+patch("beamloom.replication.reader_role", change)
 """
 LARGE_READERS_ONLY = """
 def change(module):
-    advance = module.ReaderDuty.advance
-    def advance_if_large(duty, now, *, joined=True):
-        return duty.reader_id < "6" and advance(duty, now, joined=joined)
-    module.ReaderDuty.advance = advance_if_large
-patch("beamloom.replication.reader_duty", change)
+    advance = module.ReaderRole.advance
+    def advance_if_large(role, now, *, joined=True):
+        return role.reader_id < "6" and advance(role, now, joined=joined)
+    module.ReaderRole.advance = advance_if_large
+patch("beamloom.replication.reader_role", change)
 """
 IGNORE_SIGTERM = """
 import signal
@@ -118,8 +118,8 @@
         frozenset({"configuration"}),
         """
 def change(module):
-    put = module.RouteTable.put_in_force
-    module.RouteTable.put_in_force = lambda table, new: table.version < 0 and put(table, new)
+    put = module.RouteTable.activate
+    module.RouteTable.activate = lambda table, new: table.version < 0 and put(table, new)
 patch("beamloom.routing.tokens.route_table", change)
 """,
     ),
