--- a/src/beamloom/bench/scale_traffic.py
+++ b/src/beamloom/bench/scale_traffic.py
@@ -1,8 +1,7 @@
 """Traffic of a scale run: packets that open flows, carry data and close flows.
 
 The home of a flow receives an opening packet, a packet with payload and, unless the flow stays
-open, a reset. Packets that a node serves from its own flow table
-are omitted.
+open, a reset. Packets that a node serves from its own flow table are omitted.
 """
 
 from __future__ import annotations
--- a/src/beamloom/node/record_orders.py
+++ b/src/beamloom/node/record_orders.py
@@ -25,8 +25,8 @@
 class BackendOrder(RecordOrder[BackendRecord]):
     """Orders a backend's entries by its start time and then by its sequence number.
 
-    An entry that a restored copy lacks is not kept: the backend may have removed, and a running one
-    writes its entry again.
+    An entry that a restored copy lacks is not retained: the backend may have stopped, and a running
+    one writes its entry again.
     """
 
     retains_missing = False
--- a/src/beamloom/routing/streams.py
+++ b/src/beamloom/routing/streams.py
@@ -166,7 +166,7 @@
 
 
 def _take_group(notes: dict[int, PartitionMarkEntry]) -> dict[int, PartitionMarkEntry]:
-    """Remove and return the partitions that share the oldest note, as many as fit one set."""
+    """Remove and return the partitions that share the oldest mark and base, up to one set."""
     if not notes:
         return {}
     note = next(iter(notes.values()))
@@ -187,14 +187,14 @@
 def parse_partition_marks(groups: object) -> list[tuple[int, PartitionMarkEntry]]:
     """Parse marked groups of partitions; raises MalformedDatagramError."""
     if not isinstance(groups, list):
-        raise MalformedDatagramError("partition notes are not a list")
+        raise MalformedDatagramError("partition marks are not a list")
     notes: list[tuple[int, PartitionMarkEntry]] = []
     for group in groups:
         if not isinstance(group, list) or len(group) != 3 or not isinstance(group[1], int):
-            raise MalformedDatagramError("a partition note is not [mark, base, partitions]")
+            raise MalformedDatagramError("a group of partitions is not [mark, base, partitions]")
         try:
             note = PartitionMarkEntry(PartitionMark(group[0]), group[1])
         except ValueError as error:
-            raise MalformedDatagramError(f"a partition note has mark {group[0]!r}") from error
+            raise MalformedDatagramError(f"unknown partition mark {group[0]!r}") from error
         notes.extend((item, note) for item in unpack_partitions(group[2], PARTITION_COUNT))
     return notes
