--- a/src/beamloom/node/evacuation_follower.py
+++ b/src/beamloom/node/evacuation_follower.py
@@ -1,7 +1,7 @@
 """Tracks which zones operators evacuate, from the store and from peers.
 
 An evacuation is a store object, and its removal ends the evacuation. It is read and exchanged like
-backends and the configuration, but polled less often: see `reading_times.py`.
+backends and the configuration, but polled less often: see `store_call_times.py`.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 from beamloom.node.record_orders import EvacuationOrder
 from beamloom.replication.object_watch import ObjectWatch
-from beamloom.replication.reader_duty import ReaderRole
-from beamloom.replication.reading_times import StoreCallTimes
-from beamloom.replication.reading_turn import StoreCallSchedule
+from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.retention_timer import RetentionTimer
+from beamloom.replication.store_call_schedule import StoreCallSchedule
+from beamloom.replication.store_call_times import StoreCallTimes
 from beamloom.replication.store_view import ObjectChange, StoreView
 from beamloom.routing.tokens.records import ZoneEvacuation
 from beamloom.settings.mechanisms import ALL_MECHANISMS, Mechanisms
--- a/src/beamloom/node/token_core.py
+++ b/src/beamloom/node/token_core.py
@@ -17,10 +17,10 @@
 from beamloom.node.node_observer import FROM_PEER, FROM_STORE, NodeObserver
 from beamloom.node.record_orders import BackendOrder, ConfigurationOrder
 from beamloom.replication.object_watch import ObjectWatch
-from beamloom.replication.reader_duty import ReaderRole
-from beamloom.replication.reading_times import StoreCallTimes
-from beamloom.replication.reading_turn import StoreCallSchedule
+from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.retention_timer import RetentionTimer
+from beamloom.replication.store_call_schedule import StoreCallSchedule
+from beamloom.replication.store_call_times import StoreCallTimes
 from beamloom.replication.store_view import ObjectChange, StoreView
 from beamloom.routing.tokens.cold_starts import SENDERS_PER_BACKEND, ColdStartGate
 from beamloom.routing.tokens.configuration_history import ConfigurationHistory
--- a/src/beamloom/replication/object_watch.py
+++ b/src/beamloom/replication/object_watch.py
@@ -19,7 +19,7 @@
 
 from beamloom.model.store_revision import era_of, number_of, revision_in_era
 from beamloom.replication.backoff import FullJitter
-from beamloom.replication.reading_times import FIRST_PAUSE_SECONDS, MAXIMUM_PAUSE_SECONDS
+from beamloom.replication.store_call_times import FIRST_PAUSE_SECONDS, MAXIMUM_PAUSE_SECONDS
 from beamloom.replication.store_view import NamedRecord, ObjectChange, StoreView
 
 Record = TypeVar("Record")
--- a/src/beamloom/replication/reader_duty.py
+++ b/src/beamloom/replication/reader_role.py
@@ -5,14 +5,14 @@
 down. Ids begin with the machine's rank, so that machines with more capacity are preferred. A reader
 that fails, is partitioned or is refused by the store expires and is replaced. Extra readers cost a
 few calls. Without any, nodes whose views are not confirmed in time ask the store themselves
-(`reading_times.py`).
+(`store_call_times.py`).
 """
 
 from __future__ import annotations
 
 import random
 
-from beamloom.replication.reading_times import StoreCallTimes
+from beamloom.replication.store_call_times import StoreCallTimes
 from beamloom.settings.capacity import LOWEST_RANK, Capacity
 from beamloom.settings.mechanisms import ALL_MECHANISMS, Mechanisms
 
--- a/src/beamloom/replication/shared_secret.py
+++ b/src/beamloom/replication/shared_secret.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from beamloom.replication.backoff import FullJitter
-from beamloom.replication.reading_times import FIRST_PAUSE_SECONDS, MAXIMUM_PAUSE_SECONDS
+from beamloom.replication.store_call_times import FIRST_PAUSE_SECONDS, MAXIMUM_PAUSE_SECONDS
 
 
 class SecretStep(Enum):
--- a/src/beamloom/replication/reading_turn.py
+++ b/src/beamloom/replication/store_call_schedule.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from beamloom.replication.object_watch import ObjectWatch
-from beamloom.replication.reader_duty import ReaderRole
-from beamloom.replication.reading_times import STALE_SPREAD_SECONDS, StoreCallTimes
+from beamloom.replication.reader_role import ReaderRole
+from beamloom.replication.store_call_times import STALE_SPREAD_SECONDS, StoreCallTimes
 
 STALE_WITHOUT_READERS_SECONDS = 0.7
 """While no reader is known, as after a start of all nodes, a view becomes stale sooner."""
--- a/src/beamloom/replication/view_exchange.py
+++ b/src/beamloom/replication/view_exchange.py
@@ -32,7 +32,7 @@
 )
 from beamloom.replication.backend_reports import BackendReports
 from beamloom.replication.peer_table import UNKNOWN_RANK, PeerTable
-from beamloom.replication.reader_duty import ReaderRole
+from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.shared_view import SharedView
 from beamloom.replication.stop_turns import StopState, StopTurns
 from beamloom.replication.view_pulls import SendToHost, ViewPulls
--- a/src/beamloom/runtime/connection_limits.py
+++ b/src/beamloom/runtime/connection_limits.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from beamloom.replication.reading_times import CALL_TIMEOUT_SECONDS
+from beamloom.replication.store_call_times import CALL_TIMEOUT_SECONDS
 from beamloom.units import MILLISECONDS
 
 CONNECT_SECONDS = 0.7
--- a/src/beamloom/runtime/fleet_secret.py
+++ b/src/beamloom/runtime/fleet_secret.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 
 from beamloom.platform import store_objects
-from beamloom.replication.reader_duty import ReaderRole
+from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.shared_secret import SecretStep, SharedSecret
 from beamloom.routing.tokens.token import KEY_BYTES
 from beamloom.runtime.decision_log import DecisionLog
--- a/src/beamloom/runtime/store_follower.py
+++ b/src/beamloom/runtime/store_follower.py
@@ -19,7 +19,7 @@
 from beamloom.node.token_core import TokenCore
 from beamloom.platform import store_objects
 from beamloom.replication.object_watch import ObjectWatch
-from beamloom.replication.reading_turn import StoreCallSchedule
+from beamloom.replication.store_call_schedule import StoreCallSchedule
 from beamloom.replication.store_view import ObjectChange
 from beamloom.runtime.connection_limits import ConnectionKind
 from beamloom.runtime.decision_log import DecisionLog
--- a/src/beamloom/runtime/store_reader.py
+++ b/src/beamloom/runtime/store_reader.py
@@ -22,7 +22,7 @@
     ObjectWatch,
     WatchRequest,
 )
-from beamloom.replication.reading_turn import StoreCallSchedule
+from beamloom.replication.store_call_schedule import StoreCallSchedule
 from beamloom.replication.store_view import ObjectChange
 from beamloom.runtime.connection_limits import (
     LIST_SECONDS,
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -19,8 +19,8 @@
 
 from beamloom.node.token_core import TokenCore
 from beamloom.platform import packet_layout, store_objects
-from beamloom.replication.reader_duty import reader_id_of
-from beamloom.replication.reading_times import (
+from beamloom.replication.reader_role import reader_id_of
+from beamloom.replication.store_call_times import (
     StoreCallTimes,
     evacuation_store_call_times,
     store_call_times,
--- a/src/beamloom/simulation/tokens/node.py
+++ b/src/beamloom/simulation/tokens/node.py
@@ -11,12 +11,12 @@
 from beamloom.platform import packet_layout
 from beamloom.protocol.messages import Message
 from beamloom.replication.object_watch import ListRequest, ObjectWatch, OlderAnswerError
-from beamloom.replication.reading_times import (
+from beamloom.replication.store_call_schedule import StoreCallSchedule
+from beamloom.replication.store_call_times import (
     CALL_TIMEOUT_SECONDS,
     evacuation_store_call_times,
     store_call_times,
 )
-from beamloom.replication.reading_turn import StoreCallSchedule
 from beamloom.replication.store_view import ObjectChange
 from beamloom.routing.tokens.backend_table import Backend
 from beamloom.routing.tokens.liveness import CheckOutcome
--- a/tests/functional/test_token_node.py
+++ b/tests/functional/test_token_node.py
@@ -7,8 +7,8 @@
 import time
 import unittest
 
-from beamloom.replication.reader_duty import MAXIMUM_START_DELAY_SECONDS, READER_DISCOVERY_SECONDS
-from beamloom.replication.reading_times import (
+from beamloom.replication.reader_role import MAXIMUM_START_DELAY_SECONDS, READER_DISCOVERY_SECONDS
+from beamloom.replication.store_call_times import (
     MAXIMUM_UNCONFIRMED_SECONDS,
     STALE_SPREAD_SECONDS,
     store_call_times,
--- a/tests/unit/simulation/test_large_fleet.py
+++ b/tests/unit/simulation/test_large_fleet.py
@@ -4,9 +4,9 @@
 import unittest
 from collections import Counter
 
-from beamloom.replication.reader_duty import TARGET_READERS
-from beamloom.replication.reading_times import store_call_times
-from beamloom.replication.reading_turn import CallPurpose
+from beamloom.replication.reader_role import TARGET_READERS
+from beamloom.replication.store_call_schedule import CallPurpose
+from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.view_exchange import HEARTBEAT_SECONDS
 from beamloom.simulation.tokens.deployment import initial_routes
 from beamloom.simulation.tokens.fleet import TokenFleet
--- a/tests/unit/tokens/builders.py
+++ b/tests/unit/tokens/builders.py
@@ -6,7 +6,7 @@
 from beamloom.node.token_core import TokenCore
 from beamloom.replication.fleet_share import FleetShare
 from beamloom.replication.peer_table import PeerTable
-from beamloom.replication.reading_times import evacuation_store_call_times, store_call_times
+from beamloom.replication.store_call_times import evacuation_store_call_times, store_call_times
 from beamloom.replication.store_view import NamedRecord, ObjectChange
 from beamloom.routing.tokens.decisions import Decision
 from beamloom.routing.tokens.packets import (
--- a/tests/unit/tokens/test_evacuation.py
+++ b/tests/unit/tokens/test_evacuation.py
@@ -7,8 +7,8 @@
 from beamloom.node.evacuation_follower import EvacuationFollower
 from beamloom.protocol.view_messages import ViewDigest
 from beamloom.replication.object_watch import ChangeBatch, ListPage, ListRequest, WatchRequest
-from beamloom.replication.reader_duty import ReaderRole
-from beamloom.replication.reading_times import evacuation_store_call_times, store_call_times
+from beamloom.replication.reader_role import ReaderRole
+from beamloom.replication.store_call_times import evacuation_store_call_times, store_call_times
 from beamloom.replication.store_view import NamedRecord, ObjectChange
 from beamloom.routing.tokens.packets import PacketKind, RefusalReason, ResetFlow
 from beamloom.routing.tokens.records import ZoneEvacuation
--- a/tests/unit/tokens/test_mechanisms.py
+++ b/tests/unit/tokens/test_mechanisms.py
@@ -7,10 +7,10 @@
 
 from beamloom.node.view_codecs import ConfigurationCodec
 from beamloom.protocol.view_messages import NEVER, ViewDigest, ViewRequest
-from beamloom.replication.reader_duty import ReaderRole
-from beamloom.replication.reading_times import store_call_times
+from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.shared_view import SharedView
 from beamloom.replication.stop_turns import ANNOUNCEMENT_DELAY_SECONDS, StopState
+from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.store_view import StoreView
 from beamloom.replication.view_transfer import pack
 from beamloom.routing.tokens.answer_pace import MINIMUM_SAMPLES
--- a/tests/unit/tokens/test_token_core.py
+++ b/tests/unit/tokens/test_token_core.py
@@ -12,7 +12,7 @@
 )
 from beamloom.protocol.view_messages import ViewDigest
 from beamloom.replication.object_watch import ChangeBatch, ListPage, ListRequest
-from beamloom.replication.reading_times import store_call_times
+from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.store_view import NamedRecord
 from beamloom.routing.tokens.packets import (
     DropPacket,
--- a/tests/unit/views/exchange_network.py
+++ b/tests/unit/views/exchange_network.py
@@ -7,9 +7,9 @@
 from beamloom.protocol.messages import Message
 from beamloom.protocol.view_messages import ViewPart
 from beamloom.replication.peer_table import PeerTable
-from beamloom.replication.reader_duty import ReaderRole
-from beamloom.replication.reading_times import store_call_times
+from beamloom.replication.reader_role import ReaderRole
 from beamloom.replication.shared_view import SharedView
+from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.store_view import NamedRecord, ObjectChange, StoreView
 from beamloom.replication.view_exchange import ViewExchange
 from beamloom.routing.tokens.configuration_history import ConfigurationHistory
--- a/tests/unit/views/test_object_watch.py
+++ b/tests/unit/views/test_object_watch.py
@@ -15,7 +15,7 @@
     OlderAnswerError,
     WatchRequest,
 )
-from beamloom.replication.reading_times import MAXIMUM_PAUSE_SECONDS
+from beamloom.replication.store_call_times import MAXIMUM_PAUSE_SECONDS
 from beamloom.replication.store_view import NamedRecord, ObjectChange, StoreView
 from beamloom.routing.tokens.records import BackendRecord, BackendState
 from tests.unit.tokens.builders import backend
--- a/tests/unit/views/test_reader_duty.py
+++ b/tests/unit/views/test_reader_role.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from beamloom.replication.reader_duty import (
+from beamloom.replication.reader_role import (
     MAXIMUM_JOIN_SECONDS,
     MAXIMUM_START_DELAY_SECONDS,
     READER_DISCOVERY_SECONDS,
@@ -11,7 +11,7 @@
     ReaderRole,
     reader_id_of,
 )
-from beamloom.replication.reading_times import (
+from beamloom.replication.store_call_times import (
     CALL_TIMEOUT_SECONDS,
     MAXIMUM_PAUSE_SECONDS,
     STALE_SPREAD_SECONDS,
--- a/tests/unit/views/test_reading_turn.py
+++ b/tests/unit/views/test_store_call_schedule.py
@@ -4,21 +4,21 @@
 import unittest
 
 from beamloom.replication.object_watch import ChangeBatch, ListPage, ObjectWatch
-from beamloom.replication.reader_duty import (
+from beamloom.replication.reader_role import (
     MAXIMUM_START_DELAY_SECONDS,
     READER_DISCOVERY_SECONDS,
     ReaderRole,
 )
-from beamloom.replication.reading_times import (
-    MAXIMUM_PAUSE_SECONDS,
-    STALE_SPREAD_SECONDS,
-    store_call_times,
-)
-from beamloom.replication.reading_turn import (
+from beamloom.replication.store_call_schedule import (
     STALE_WITHOUT_READERS_SECONDS,
     CallPurpose,
     StoreCallSchedule,
 )
+from beamloom.replication.store_call_times import (
+    MAXIMUM_PAUSE_SECONDS,
+    STALE_SPREAD_SECONDS,
+    store_call_times,
+)
 from beamloom.replication.store_view import NamedRecord, ObjectChange, StoreView
 
 
--- a/tools/soak_broken_builds.py
+++ b/tools/soak_broken_builds.py
@@ -68,7 +68,7 @@
 NEVER_STALE = """
 def change(module):
     module.StoreCallSchedule._is_stale = lambda *_: False
-patch("beamloom.replication.reading_turn", change)
+patch("beamloom.replication.store_call_schedule", change)
 """
 FIRST_READERS_ONLY = """
 def change(module):
@@ -78,7 +78,7 @@
             return False
         return advance(role, now, joined=joined)
     module.ReaderRole.advance = advance_at_first
-patch("beamloom.replication.reader_duty", change)
+patch("beamloom.replication.reader_role", change)
 """
 LARGE_READERS_ONLY = """
 def change(module):
@@ -86,7 +86,7 @@
     def advance_if_large(role, now, *, joined=True):
         return role.reader_id < "6" and advance(role, now, joined=joined)
     module.ReaderRole.advance = advance_if_large
-patch("beamloom.replication.reader_duty", change)
+patch("beamloom.replication.reader_role", change)
 """
 IGNORE_SIGTERM = """
 import signal
