--- a/src/beamloom/bench/scale_traffic.py
+++ b/src/beamloom/bench/scale_traffic.py
@@ -53,7 +53,7 @@
         self._clock = clock
         self._nodes = nodes
         self._options = options
-        self._random = rng
+        self._rng = rng
         self._seed = flow_seed(hash_key, PROTOCOL_TCP)
         self._virtual_ips = [pack_address(service_address(i)) for i in range(options.services)]
         self._due: list[tuple[float, int, bytes, int, bytes, int]] = []
@@ -79,7 +79,7 @@
         self._clock.call_later(FEED_SECONDS, self._feed)
 
     def _open(self) -> None:
-        rng = self._random
+        rng = self._rng
         client, port = rng.randbytes(4), rng.randint(FIRST_PORT, LAST_PORT)
         virtual_ip = rng.choice(self._virtual_ips)
         self.opened += 1
@@ -98,10 +98,10 @@
 
     def _send(self, client: bytes, port: int, virtual_ip: bytes, flags: int) -> None:
         """Send a packet to the flow's home according to the view of a random node."""
-        relay = self._nodes[self._random.choice(self._names)]
+        relay = self._nodes[self._rng.choice(self._names)]
         ports = struct.pack("!HH", port, SERVICE_PORT)
         partition = partition_of(flow_key(client + virtual_ip + ports, self._seed))
-        home = relay.core.core.forwarder.ownership.deciders[partition]
+        home = relay.core.core.forwarder.ownership.forward_targets[partition]
         if home is None or home not in self._nodes:
             return
         payload = PAYLOAD if flags == TCP_ACK else b""
@@ -136,4 +136,4 @@
             service = rng.choice(routes)
             number = service.current_table.first[slot_of(key)]
             choice = Choice(number, PlacementReason.BASE_GENERATION)
-            home.enter(key, choice, service, FlowFlag.PAYLOAD_SENT, now)
+            home.insert(key, choice, service, FlowFlag.PAYLOAD_SENT, now)
--- a/src/beamloom/routing/tokens/flow_observer.py
+++ b/src/beamloom/routing/tokens/flow_observer.py
@@ -28,7 +28,7 @@
 """Fraction of the opening timeout after which a backend is checked. A check is made earlier because
 it does not count as a failure of the backend.
 """
-MAX_OPENING_TIMEOUT_SECONDS = 1.2
+MAXIMUM_OPENING_TIMEOUT_SECONDS = 1.2
 """Clients give up on an opening after 1.4 s."""
 SEQUENCE_MASK = 0xFFFF_FFFF
 """Sequence numbers have 32 bits (the platform's packets)."""
@@ -37,7 +37,7 @@
 repeat a request after 0.2 s, so this client has probably got a reset, from the backend's host or
 from a later owner of its address.
 """
-MAX_SUSPICION_DOUBLINGS = 3
+MAXIMUM_SUSPICION_DOUBLINGS = 3
 SUSPECT_AFTER_FAILURES = 2
 STALLED_AFTER_REPEATS = 2
 """Clients repeat a request after 0.2, 0.6 and 1.4 s; the second repetition shows 0.6 s without an
@@ -109,8 +109,8 @@
     `opening_timeout_seconds` grows when an answer arrives after the timeout, as with distant
     clients. `on_unanswered` is called for each unanswered opening, `on_suspicion` for each sign
     that a backend may be dead, and `on_short_answer` for each answer that may be an error.
-    `on_overdue` is called for requests that are unanswered after the seconds that `find_patience`
-    returns for their destination; None means no limit.
+    `on_overdue` is called for requests that are unanswered after the seconds that
+    `find_answer_timeout` returns for their destination; None means no limit.
     """
 
     def __init__(self, on_decision: Callable[[Decision], None]) -> None:
@@ -120,7 +120,7 @@
         self.on_unanswered: Callable[[Backend, float], None] = lambda backend, now: None
         self.on_short_answer: Callable[[Backend, float], None] = lambda backend, now: None
         self.on_overdue: Callable[[Backend, float], None] = lambda backend, now: None
-        self.find_patience: Callable[[bytes], float | None] = lambda destination: None
+        self.find_answer_timeout: Callable[[bytes], float | None] = lambda destination: None
         self._sizes = AnswerSizes()
         self._answer_deadlines = AnswerDeadlines()
         self.on_suspicion: Callable[[Backend, Suspicion, float], None] = lambda *_: None
@@ -155,7 +155,7 @@
             self._release_load(flow)
         return [(key, flow.acknowledged) for key, flow in ended]
 
-    def next_judgement(self) -> float | None:
+    def next_deadline(self) -> float | None:
         """Return when `advance` has the next opening or request to check, or None."""
         queues = (self._opening_checks, self._opening_timeouts, self._request_checks)
         times = [waiting[0][0] for waiting in queues if waiting]
@@ -265,7 +265,7 @@
 
     def _extend_opening_timeout(self, seconds: float) -> None:
         """Extend the opening timeout, as an opening was answered `seconds` after it was sent."""
-        longer = min(MAX_OPENING_TIMEOUT_SECONDS, 2 * seconds)
+        longer = min(MAXIMUM_OPENING_TIMEOUT_SECONDS, 2 * seconds)
         self.opening_timeout_seconds = max(self.opening_timeout_seconds, longer)
 
     def _note_unanswered(self, key: bytes, flow: ObservedFlow, now: float) -> None:
@@ -277,7 +277,7 @@
         backend.pending -= 1
         backend.failures += 1
         if backend.failures >= SUSPECT_AFTER_FAILURES:
-            doublings = min(backend.failures - SUSPECT_AFTER_FAILURES, MAX_SUSPICION_DOUBLINGS)
+            doublings = min(backend.failures - SUSPECT_AFTER_FAILURES, MAXIMUM_SUSPICION_DOUBLINGS)
             backend.suspect_until = now + SUSPECT_SECONDS * 2**doublings
         suspect = backend.suspect_until > now
         self.on_unanswered(backend, now)
@@ -290,7 +290,7 @@
             self._end_stall(flow)
             flow.sequence = packet.sequence
             flow.requested_at = now
-            limit_seconds = self.find_patience(packet.destination)
+            limit_seconds = self.find_answer_timeout(packet.destination)
             flow.due_at = None if limit_seconds is None else now + limit_seconds
             self._request_checks.append((now + QUIET_SECONDS, packet.flow, packet.sequence))
             return
--- a/src/beamloom/runtime/connection_limits.py
+++ b/src/beamloom/runtime/connection_limits.py
@@ -10,14 +10,14 @@
 from enum import Enum
 from typing import NamedTuple
 
-from beamloom.replication.reading_times import CALL_PATIENCE_SECONDS
+from beamloom.replication.store_call_times import CALL_TIMEOUT_SECONDS
 from beamloom.units import MILLISECONDS
 
 CONNECT_SECONDS = 0.7
 """TCP retransmits a lost SYN only after a second or more, so a new connection is faster."""
 LIST_SECONDS = 2.0
 """First deadline of a list. A list of 500 objects takes a tenth of that on an idle store."""
-LONGEST_LIST_SECONDS = 8.0
+MAXIMUM_LIST_SECONDS = 8.0
 """Longest deadline of a list. When a large fleet starts at once, the store's link is saturated, and
 giving up and retrying would only add load.
 """
@@ -94,11 +94,11 @@
 
 def watch_limits(wait_seconds: float) -> CallLimits:
     """Return the limits of a watch whose answer the store may delay by `wait_seconds`."""
-    deadline = wait_seconds + CALL_PATIENCE_SECONDS
-    return CallLimits(deadline, CALL_PATIENCE_SECONDS, waits=wait_seconds > 0)
+    deadline = wait_seconds + CALL_TIMEOUT_SECONDS
+    return CallLimits(deadline, CALL_TIMEOUT_SECONDS, waits=wait_seconds > 0)
 
 
-def notice_silence(connection: socket.socket) -> None:
+def enable_silence_detection(connection: socket.socket) -> None:
     """Have the kernel close a connection that is no longer acknowledged; raises OSError."""
     unacknowledged = int(UNACKNOWLEDGED_SECONDS * MILLISECONDS)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged)
--- a/src/beamloom/runtime/store_reader.py
+++ b/src/beamloom/runtime/store_reader.py
@@ -22,15 +22,15 @@
     ObjectWatch,
     WatchRequest,
 )
-from beamloom.replication.reading_turn import ReadingTurn
+from beamloom.replication.store_call_schedule import StoreCallSchedule
 from beamloom.replication.store_view import ObjectChange
 from beamloom.runtime.connection_limits import (
     LIST_SECONDS,
-    LONGEST_LIST_SECONDS,
+    MAXIMUM_LIST_SECONDS,
     list_limits,
     watch_limits,
 )
-from beamloom.runtime.http_client import CallFailedError, CallFailure, HttpAnswer, HttpConnection
+from beamloom.runtime.http_client import CallFailedError, CallFailure, HttpConnection, HttpResponse
 from beamloom.telemetry.histogram import LatencyHistogram
 
 Record = TypeVar("Record")
@@ -65,7 +65,7 @@
         watch: ObjectWatch[Record],
         kind: KindFormat[Record],
         connection: HttpConnection,
-        turn: ReadingTurn,
+        schedule: StoreCallSchedule,
     ) -> None:
         self.watch = watch
         self.counters: Counter[str] = Counter()
@@ -80,7 +80,7 @@
         self.era: int | None = None
         self._kind = kind
         self._connection = connection
-        self._turn = turn
+        self._schedule = schedule
         self._wake = asyncio.Event()
         self._list_seconds = LIST_SECONDS
         self._pause_seconds = 0.0
@@ -88,25 +88,25 @@
 
     def advance(self, now: float) -> None:
         """Wake `run` if a call has become necessary; to be called a few times a second."""
-        if self._turn.must_ask(now):
+        if self._schedule.must_ask(now):
             self._wake.set()
 
     async def run(self) -> None:
         """List and watch until cancelled."""
         try:
             while True:
-                await self._wait_for_turn()
+                await self._wait_for_call()
                 failure = await self._call_once()
                 if failure is not None:
-                    self._pause_seconds = self._turn.note_failure(_now())
+                    self._pause_seconds = self._schedule.note_failure(_now())
                     self.on_failure(failure, self.watch.failures)
                 if self._pause_seconds:
                     await asyncio.sleep(self._pause_seconds)
         finally:
             self._connection.close()
 
-    async def _wait_for_turn(self) -> None:
-        if self._turn.must_ask(_now()):
+    async def _wait_for_call(self) -> None:
+        if self._schedule.must_ask(_now()):
             return
         self._connection.close()
         self._wake.clear()
@@ -131,7 +131,7 @@
             self.on_recovery(failures)
         return failure
 
-    def _report_new_era(self, answer: HttpAnswer) -> None:
+    def _report_new_era(self, answer: HttpResponse) -> None:
         """Report an era that differs from that of the previous answers."""
         era = self._kind.read_era(answer.headers)
         if era is not None and era != self.era:
@@ -145,23 +145,23 @@
             return None
         self._was_silent = False
         if failure in (CallFailure.DEADLINE, CallFailure.STALLED):
-            self._list_seconds = min(LONGEST_LIST_SECONDS, 2 * self._list_seconds)
+            self._list_seconds = min(MAXIMUM_LIST_SECONDS, 2 * self._list_seconds)
         return failure.value
 
-    async def _call(self, request: ListRequest | WatchRequest) -> HttpAnswer:
-        self.purposes[self._turn.purpose.value] += 1
+    async def _call(self, request: ListRequest | WatchRequest) -> HttpResponse:
+        self.purposes[self._schedule.purpose.value] += 1
         if isinstance(request, ListRequest):
             limits = list_limits(self._list_seconds)
             return await self._connection.call("GET", self._kind.list_path(request), limits)
-        wait = 0.0 if self._was_silent else self._turn.wait_seconds
+        wait = 0.0 if self._was_silent else self._schedule.wait_seconds
         path = self._kind.watch_path(request, wait)
         return await self._connection.call("GET", path, watch_limits(wait))
 
     def _handle_answer(
-        self, request: ListRequest | WatchRequest, answer: HttpAnswer, asked_at: float
+        self, request: ListRequest | WatchRequest, answer: HttpResponse, asked_at: float
     ) -> str | None:
         if answer.status == STATUS_GONE:
-            self.watch.take_lost_history()
+            self.watch.handle_lost_history()
             return None
         if answer.status != STATUS_OK:
             return f"status_{answer.status}"
@@ -169,12 +169,12 @@
             changes = self._apply_body(request, answer, asked_at)
         except ValueError as error:
             return f"unreadable: {error}"
-        self._pause_seconds = self._turn.note_answer(_now(), changes=bool(changes))
+        self._pause_seconds = self._schedule.note_answer(_now(), changes=bool(changes))
         self.on_answer(changes)
         return None
 
     def _apply_body(
-        self, request: ListRequest | WatchRequest, answer: HttpAnswer, asked_at: float
+        self, request: ListRequest | WatchRequest, answer: HttpResponse, asked_at: float
     ) -> tuple[ObjectChange[Record], ...]:
         answer_era = self._kind.read_era(answer.headers)
         era = self._view_era if answer_era is None else answer_era
@@ -184,10 +184,10 @@
             page = self._kind.read_page(answer.body, era)
             self._report_unreadable(page.unreadable)
             self._report_older_list(page.revision)
-            return self.watch.take_page(page, asked_at, tells_era=answer_era is not None)
+            return self.watch.handle_page(page, asked_at, reports_era=answer_era is not None)
         batch = self._kind.read_changes(answer.body, era)
         self._report_unreadable(batch.unreadable)
-        return self.watch.take_changes(batch, _now(), tells_era=answer_era is not None)
+        return self.watch.handle_changes(batch, _now(), reports_era=answer_era is not None)
 
     @property
     def _view_era(self) -> int:
--- a/src/beamloom/runtime/token_metrics.py
+++ b/src/beamloom/runtime/token_metrics.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from beamloom.model.store_revision import number_of
-from beamloom.telemetry.counters import Metric, MetricKind, gauge, histogram, labelled
+from beamloom.telemetry.counters import Metric, MetricKind, gauge, histogram, labelled_metric
 
 if TYPE_CHECKING:
     from beamloom.runtime.token_node import TokenNode
@@ -58,9 +58,9 @@
 def read_metrics(node: TokenNode) -> Iterator[Metric]:
     """Yield the current metrics of a node."""
     for name, counts in _counters(node).items():
-        yield labelled(name, MetricKind.COUNTER, HELP_TEXTS[name], "event", counts)
+        yield labelled_metric(name, MetricKind.COUNTER, HELP_TEXTS[name], "event", counts)
     moments: dict[str, float] = {str(name): at for name, at in node.start.timeline.seconds.items()}
-    yield labelled(
+    yield labelled_metric(
         "start_seconds", MetricKind.GAUGE, HELP_TEXTS["start_seconds"], "moment", moments
     )
     for name, value in _gauges(node).items():
@@ -125,10 +125,10 @@
         "backends_age_seconds": core.backends.age(now),
         "configuration_age_seconds": core.configuration.age(now),
         "backends_down": sum(item.down_since is not None for item in core.router.backends.all()),
-        "evacuated_zones": None if evacuations is None else len(evacuations.since),
+        "evacuated_zones": None if evacuations is None else len(evacuations.evacuated_since),
         "evacuations_age_seconds": None if evacuations is None else evacuations.view.age(now),
         "peers": 0 if core.exchange is None else len(core.exchange.peers),
-        "reads_store": int(core.duty.reading),
+        "reads_store": int(core.role.reading),
         "own_limits_state": node.limit_watch.level,
         "ready": int(node.ready),
     }
--- a/src/beamloom/runtime/token_node.py
+++ b/src/beamloom/runtime/token_node.py
@@ -19,17 +19,17 @@
 
 from beamloom.node.token_core import TokenCore
 from beamloom.platform import packet_layout, store_objects
-from beamloom.replication.reader_duty import reader_id_of
-from beamloom.replication.reading_times import (
-    ReadingTimes,
-    evacuation_reading_times,
-    reading_times,
+from beamloom.replication.reader_role import reader_id_of
+from beamloom.replication.store_call_times import (
+    StoreCallTimes,
+    evacuation_store_call_times,
+    store_call_times,
 )
 from beamloom.routing.tokens.placement import placement_settings
 from beamloom.runtime.backend_check import BackendChecker
 from beamloom.runtime.connection_limits import ConnectionKind
 from beamloom.runtime.decision_log import DecisionLog
-from beamloom.runtime.http_client import HttpAnswer
+from beamloom.runtime.http_client import HttpResponse
 from beamloom.runtime.http_responder import HttpResponder
 from beamloom.runtime.limit_watch import LimitWatch
 from beamloom.runtime.packet_socket import PacketSocket
@@ -38,8 +38,8 @@
 from beamloom.runtime.start_timeline import StartLog, StartTimeline
 from beamloom.runtime.store_follower import StoreFollower
 from beamloom.settings.mechanisms import ALL_MECHANISMS, Mechanisms
-from beamloom.settings.token_node import FIELDS_OF_A_START, TokenNodeSettings, changed_fields
-from beamloom.telemetry.event_log import EventLog, standard_output
+from beamloom.settings.token_node import RESTART_FIELDS, TokenNodeSettings, changed_fields
+from beamloom.telemetry.event_log import EventLog, non_blocking_stdout
 from beamloom.telemetry.histogram import LatencyHistogram
 
 METRICS_PATH = "/metrics"
@@ -48,12 +48,12 @@
 store at once: the first one passes its answer on to the others.
 """
 READER_ID_BYTES = 4
-LONGEST_QUEUE_SECONDS = 1.0
+MAXIMUM_QUEUE_SECONDS = 1.0
 """How long a starting node leaves packets in its socket's buffer until it is ready. Clients
 retransmit after 0.2 to 1.6 s, so older packets are useless: a node that is not ready by then reads
 them, and drops those that it cannot forward.
 """
-LONGEST_OPENING_WAIT_SECONDS = 0.4
+MAXIMUM_OPENING_WAIT_SECONDS = 0.4
 """After a longer start, opening packets in the buffer are dropped: another node may have forwarded
 their retransmitted copies.
 """
@@ -78,9 +78,9 @@
         self._mechanisms = mechanisms
         self._read_settings = read_settings
         rng = self._rng = random.Random()
-        self.log = EventLog(settings.node, standard_output())
+        self.log = EventLog(settings.node, non_blocking_stdout())
         self.decisions = DecisionLog(self.log, packet_layout.describe_flow, self._view_age)
-        self.start = StartLog(timeline or StartTimeline(time.monotonic()), self.decisions.life)
+        self.start = StartLog(timeline or StartTimeline(time.monotonic()), self.decisions.lifecycle)
         start = os.urandom(READER_ID_BYTES).hex()
         capacity = settings.capacity
         reader_id = reader_id_of(capacity.cores, capacity.link_megabits, start)
@@ -89,8 +89,8 @@
             reader_id,
             store_objects.CONFIGURATION_NAME,
             self.decisions,
-            chance=rng,
-            times=reading_times(
+            rng=rng,
+            times=store_call_times(
                 min(settings.apply_seconds, settings.drain_seconds),
                 settings.contact_seconds,
                 mechanisms,
@@ -104,7 +104,7 @@
             heartbeat_seconds=settings.heartbeat_seconds,
             is_seed=settings.host in settings.seeds,
         )
-        self.core.on_progress = self._record_progress
+        self.core.on_view_changed = self._record_progress
         self.follower = StoreFollower(settings, self.core, self.decisions, rng, mechanisms)
         self.limit_watch = LimitWatch(
             self.core, settings, self._peer_traffic, self._log_limit_watch_fault
@@ -143,32 +143,32 @@
 
     def request_stop(self) -> None:
         """Begin a planned stop."""
-        self.decisions.life("StopRequested", flows=len(self.core.router.flows))
+        self.decisions.lifecycle("StopRequested", flows=len(self.core.router.flows))
         self.start.stop()
         self._stop.request(in_use=self._was_ready)
-        self.core.ask_to_stop(time.monotonic())
+        self.core.request_stop(time.monotonic())
         self.follower.send()
 
     def _is_stop_turn(self) -> bool:
-        return self.core.may_go_away(time.monotonic())
+        return self.core.may_stop(time.monotonic())
 
     def _announce_away(self) -> None:
-        self.core.go_away(time.monotonic())
+        self.core.announce_away(time.monotonic())
         self.follower.send()
-        self.decisions.life("Away", flows=len(self.core.router.flows))
+        self.decisions.lifecycle("Away", flows=len(self.core.router.flows))
 
     def reload(self) -> None:
         """Read the settings again; a faulty file is logged and changes nothing."""
         try:
             settings = self._read_settings()
         except ValueError as error:
-            self.decisions.life("SettingsRefused", reason=str(error))
+            self.decisions.lifecycle("SettingsRefused", reason=str(error))
             return
         changed = changed_fields(self.settings, settings)
         self.settings = settings
         self.follower.use_settings(settings)
-        deferred = [name for name in changed if name in FIELDS_OF_A_START]
-        self.decisions.life(
+        deferred = [name for name in changed if name in RESTART_FIELDS]
+        self.decisions.lifecycle(
             "SettingsReloaded",
             changed=", ".join(changed) or None,
             takes_effect_at_next_start=", ".join(deferred) or None,
@@ -186,7 +186,7 @@
         await self._responder.start(*self.settings.readiness.pair)
         self.start.record("listening")
         await self._start_metrics()
-        self.decisions.life("Started", zone=self.settings.zone)
+        self.decisions.lifecycle("Started", zone=self.settings.zone)
         self._log_unusable_limits()
         jobs = (
             self.follower.run(),
@@ -211,7 +211,7 @@
         """Log limits that are missing or implausible in the settings; the least value applies."""
         if self.settings.unusable_limits:
             names = ", ".join(self.settings.unusable_limits)
-            self.decisions.life("LimitsUnusable", taken_as_least=names)
+            self.decisions.lifecycle("LimitsUnusable", taken_as_least=names)
 
     async def _start_metrics(self) -> None:
         """Serve metrics if an address is configured; failure to bind it is only logged."""
@@ -224,8 +224,8 @@
             self.decisions.dependency_lost("metrics address", str(error), 1)
 
     async def _read_packets_when_unready(self) -> None:
-        """Start reading packets after LONGEST_QUEUE_SECONDS even if the node is not ready."""
-        await asyncio.sleep(LONGEST_QUEUE_SECONDS if self._mechanisms.waiting_packets else 0.0)
+        """Start reading packets after MAXIMUM_QUEUE_SECONDS even if the node is not ready."""
+        await asyncio.sleep(MAXIMUM_QUEUE_SECONDS if self._mechanisms.waiting_packets else 0.0)
         self._packets.start()
         await asyncio.Event().wait()
 
@@ -250,7 +250,7 @@
 
     def _schedule_deadline(self) -> None:
         """Set a timer for the next opening or request whose answer deadline expires."""
-        due = self.core.router.flows.next_judgement()
+        due = self.core.router.flows.next_deadline()
         if due is not None and self._deadline_timer is None:
             self._deadline_timer = asyncio.get_running_loop().call_at(due, self._handle_deadline)
 
@@ -281,7 +281,7 @@
         self._responder.close()
         self._metrics_responder.close()
         self.follower.close()
-        self.decisions.life("Stopped")
+        self.decisions.lifecycle("Stopped")
         self.log.flush()
 
     def _record_progress(self) -> None:
@@ -290,47 +290,51 @@
         if self.ready and not self._was_ready:
             self._was_ready = True
             self.start.record("ready")
-            if time.monotonic() - self._started_at > LONGEST_OPENING_WAIT_SECONDS:
-                self._packets.start_without_waiting_openings()
+            if time.monotonic() - self._started_at > MAXIMUM_OPENING_WAIT_SECONDS:
+                self._packets.start_dropping_queued_openings()
             else:
                 self._packets.start()
             version = self.core.router.routes.version
-            self.decisions.life("Ready", version=version, backends=len(self.core.router.backends))
+            self.decisions.lifecycle(
+                "Ready", version=version, backends=len(self.core.router.backends)
+            )
 
     def _before_packets(self, now: float) -> None:
         """After a stall, drop the opening packets that are queued in the socket's buffer."""
-        if self._mechanisms.discard_after_stall and self.core.take_stall(now):
-            self._packets.discard_waiting_openings()
+        if self._mechanisms.discard_after_stall and self.core.consume_stall(now):
+            self._packets.drop_queued_openings()
 
     def _log_packet_fault(self, error: Exception) -> None:
-        self.decisions.life("PacketFault", error=repr(error), where=_origin(error))
+        self.decisions.lifecycle("PacketFault", error=repr(error), where=_origin(error))
 
     def _log_limit_watch_fault(self, error: Exception) -> None:
-        self.decisions.life("LimitWatchFault", error=repr(error), where=_origin(error))
+        self.decisions.lifecycle("LimitWatchFault", error=repr(error), where=_origin(error))
 
     def _view_age(self) -> float | None:
         return self.core.backends.age(asyncio.get_running_loop().time())
 
-    def _answer_metrics(self) -> HttpAnswer:
+    def _answer_metrics(self) -> HttpResponse:
         from beamloom.runtime.token_metrics import read_metrics
         from beamloom.telemetry.counters import make_registry, render
 
-        return HttpAnswer(200, render(make_registry(partial(read_metrics, self))))
+        return HttpResponse(200, render(make_registry(partial(read_metrics, self))))
 
-    def _answer_readiness(self) -> HttpAnswer:
+    def _answer_readiness(self) -> HttpResponse:
         self.start.record("readiness_asked")
         if self.ready:
             self.start.record("readiness_answered")
-            return HttpAnswer(200, b"ready\n")
+            return HttpResponse(200, b"ready\n")
         self._stop.record_miss(asyncio.get_running_loop().time())
-        return HttpAnswer(503, b"not ready\n")
+        return HttpResponse(503, b"not ready\n")
 
 
-def _evacuation_times(settings: TokenNodeSettings, mechanisms: Mechanisms) -> ReadingTimes | None:
+def _evacuation_times(settings: TokenNodeSettings, mechanisms: Mechanisms) -> StoreCallTimes | None:
     """Return the times for evacuations; None if the settings do not provide for them."""
     if settings.evacuate_seconds is None:
         return None
-    return evacuation_reading_times(settings.evacuate_seconds, settings.contact_seconds, mechanisms)
+    return evacuation_store_call_times(
+        settings.evacuate_seconds, settings.contact_seconds, mechanisms
+    )
 
 
 def first_tick_seconds(rng: random.Random, mechanisms: Mechanisms) -> float:
--- a/src/beamloom/simulation/tokens/node.py
+++ b/src/beamloom/simulation/tokens/node.py
@@ -11,12 +11,12 @@
 from beamloom.platform import packet_layout
 from beamloom.protocol.messages import Message
 from beamloom.replication.object_watch import ListRequest, ObjectWatch, OlderAnswerError
-from beamloom.replication.reading_times import (
-    CALL_PATIENCE_SECONDS,
-    evacuation_reading_times,
-    reading_times,
+from beamloom.replication.store_call_schedule import StoreCallSchedule
+from beamloom.replication.store_call_times import (
+    CALL_TIMEOUT_SECONDS,
+    evacuation_store_call_times,
+    store_call_times,
 )
-from beamloom.replication.reading_turn import ReadingTurn
 from beamloom.replication.store_view import ObjectChange
 from beamloom.routing.tokens.backend_table import Backend
 from beamloom.routing.tokens.liveness import CheckOutcome
@@ -47,20 +47,20 @@
         node: SimulatedTokenNode,
         kind: str,
         watch: ObjectWatch[Any],
-        turn: ReadingTurn,
+        schedule: StoreCallSchedule,
         apply_changes: Callable[[tuple[ObjectChange[Any], ...], float], None],
     ) -> None:
         self._node = node
         self._kind = kind
         self._watch = watch
-        self._turn = turn
+        self._schedule = schedule
         self._apply_changes = apply_changes
         self._call_number = 0
         self._busy = False
 
     def advance(self) -> None:
         """Call the store if a call is due and none is pending."""
-        if not self._busy and self._turn.must_ask(self._node.clock.now):
+        if not self._busy and self._schedule.must_ask(self._node.clock.now):
             self._call_store()
 
     def _call_store(self) -> None:
@@ -68,8 +68,8 @@
         self._call_number += 1
         call_number, asked_at = self._call_number, self._node.clock.now
         request = self._watch.next_request()
-        self._node.observer.counters[f"call_{self._kind}_{self._turn.purpose.value}"] += 1
-        wait = 0.0 if isinstance(request, ListRequest) else self._turn.wait_seconds
+        self._node.observer.counters[f"call_{self._kind}_{self._schedule.purpose.value}"] += 1
+        wait = 0.0 if isinstance(request, ListRequest) else self._schedule.wait_seconds
 
         def on_answer(answer: StoreAnswer) -> None:
             if call_number == self._call_number:
@@ -80,12 +80,12 @@
             on_answer(StoreAnswer())
 
         self._node.link.call(self._node.host, self._kind, request, wait, on_answer)
-        self._node.clock.call_later(wait + CALL_PATIENCE_SECONDS, on_timeout)
+        self._node.clock.call_later(wait + CALL_TIMEOUT_SECONDS, on_timeout)
 
     def _handle_answer(self, answer: StoreAnswer, asked_at: float) -> None:
         now = self._node.clock.now
         if answer.history_gone:
-            self._watch.take_lost_history()
+            self._watch.handle_lost_history()
             self._finish_call()
             return
         try:
@@ -93,9 +93,9 @@
         except OlderAnswerError:
             changes = None
         if changes is None:
-            self._node.clock.call_later(self._turn.note_failure(now), self._finish_call)
+            self._node.clock.call_later(self._schedule.note_failure(now), self._finish_call)
             return
-        pause_seconds = self._turn.note_answer(now, changes=bool(changes))
+        pause_seconds = self._schedule.note_answer(now, changes=bool(changes))
         self._apply_changes(changes, now)
         self._node.send_messages()
         self._node.clock.call_later(pause_seconds, self._finish_call)
@@ -108,10 +108,10 @@
         if not reports_era:
             answer = answer.in_era(era_of(self._watch.view.revision or 0))
         if answer.page is not None:
-            return self._watch.take_page(answer.page, asked_at, tells_era=reports_era)
+            return self._watch.handle_page(answer.page, asked_at, reports_era=reports_era)
         if answer.batch is not None:
             now = self._node.clock.now
-            return self._watch.take_changes(answer.batch, now, tells_era=reports_era)
+            return self._watch.handle_changes(answer.batch, now, reports_era=reports_era)
         return None
 
     def _finish_call(self) -> None:
@@ -156,9 +156,9 @@
             reader_id,
             CONFIGURATION_NAME,
             self.observer,
-            chance=rng,
-            times=reading_times(),
-            evacuation_times=evacuation_reading_times(EVACUATE_SECONDS),
+            rng=rng,
+            times=store_call_times(),
+            evacuation_times=evacuation_store_call_times(EVACUATE_SECONDS),
             mechanisms=mechanisms,
             is_seed=host in seeds,
         )
@@ -168,16 +168,16 @@
         self._send_message = send_message
         self._check_backend = check_backend
         self._deadline_scheduled = False
-        self.core.checks.begin = self._begin_check
+        self.core.checks.start_check = self._begin_check
         core = self.core
         self._readers = [
-            _Reader(self, BACKENDS, core.backend_watch, core.backend_turn, core.take_backends),
+            _Reader(self, BACKENDS, core.backend_watch, core.backend_schedule, core.apply_backends),
             _Reader(
                 self,
                 CONFIGURATION,
                 core.configuration_watch,
-                core.configuration_turn,
-                core.take_configuration,
+                core.configuration_schedule,
+                core.apply_configuration,
             ),
         ]
         evacuations = core.evacuations
@@ -187,11 +187,11 @@
                     self,
                     EVACUATIONS,
                     evacuations.watch,
-                    evacuations.turn,
-                    core.take_evacuations,
+                    evacuations.schedule,
+                    core.apply_evacuations,
                 )
             )
-        core.use_key(secret)
+        core.set_secrets(secret)
         if join_seconds:
             clock.call_later(join_seconds, core.join_peers, host, seeds)
         else:
@@ -261,7 +261,7 @@
 
     def _schedule_next_deadline(self) -> None:
         """Advance the router at its next deadline, as the real node does between ticks."""
-        due = self.core.router.flows.next_judgement()
+        due = self.core.router.flows.next_deadline()
         if due is None or self._deadline_scheduled:
             return
         self._deadline_scheduled = True
@@ -281,7 +281,7 @@
         self._check_backend(self.host, backend.record.address, on_outcome)
 
     def _apply_check_outcome(self, backend: Backend, outcome: CheckOutcome) -> None:
-        self.core.checks.take(backend, outcome, self.clock.now)
+        self.core.checks.apply_outcome(backend, outcome, self.clock.now)
         self.send_resets()
         self.send_messages()
 
--- a/src/beamloom/standins/token_store_server.py
+++ b/src/beamloom/standins/token_store_server.py
@@ -47,7 +47,7 @@
 
 
 class TokenStoreServer:
-    """One server; `tells_era` adds the era header to answers.
+    """One server; `reports_era` adds the era header to answers.
 
     `calls` counts calls by method and status, except those with an invalid path or a failing kind.
     """
@@ -55,7 +55,7 @@
     def __init__(self, store: TokenStore) -> None:
         self.store = store
         self.faults = TokenStoreFaults()
-        self.tells_era = True
+        self.reports_era = True
         self.calls: Counter[str] = Counter()
         self._changed = asyncio.Event()
         self._runner: web.AppRunner | None = None
@@ -83,7 +83,7 @@
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
         response = await self._respond(request)
-        if self.tells_era:
+        if self.reports_era:
             response.headers[ERA_HEADER.decode()] = str(self.store.era)
         return response
 
--- a/tests/functional/test_restored_store.py
+++ b/tests/functional/test_restored_store.py
@@ -14,7 +14,7 @@
 from beamloom.standins.token_store import NoSuchObjectError
 from tests.functional.token_node_case import TokenNodeCase
 
-LONG = FlowPlan(requests=6, rest_seconds=0.5)
+LONG = FlowPlan(requests=6, pause_seconds=0.5)
 OTHER_SECRET = {"key": "0f" * 16}
 LATE_PEER_SECONDS = 1.0
 """Longer than a node of a new fleet waits for peers before it creates a secret."""
@@ -152,7 +152,7 @@
         self.assertNotIn("OlderList", self.logs())
 
     async def test_a_restored_store_without_eras_is_followed(self) -> None:
-        self.store.tells_era = False
+        self.store.reports_era = False
         await self.drain_after_restore()
         for number in (1, 2):
             await self.wait_until(lambda number=number: self.is_draining(number), 2.5)
--- a/tests/unit/simulation/test_store_restored.py
+++ b/tests/unit/simulation/test_store_restored.py
@@ -46,7 +46,7 @@
         """Open flows at both addresses every 0.1 s."""
         for _ in range(int(seconds / 0.1)):
             for number in (1, 2):
-                self.fleet.clients.open_flow(number, FlowPlan(requests=1, rest_seconds=0.0))
+                self.fleet.clients.open_flow(number, FlowPlan(requests=1, pause_seconds=0.0))
             self.fleet.run(0.1)
 
     def test_drain_after_a_restore_is_applied(self) -> None:
@@ -105,7 +105,7 @@
         """Guards against a reset of flows at a live endpoint.
 
         It occurred when a node applied the entry of the former owner of the endpoint's address
-        again; tests/unit/tokens/test_backend_lives.py covers the cause.
+        again; tests/unit/tokens/test_backend_restarts.py covers the cause.
         """
         options = TokenRunOptions(4023, faults=18, steady=False, restores=5, reports_era=False)
         self.assertEqual(run_tokens(options).violations, [])
--- a/tests/unit/tokens/test_evacuation.py
+++ b/tests/unit/tokens/test_evacuation.py
@@ -7,8 +7,8 @@
 from beamloom.node.evacuation_follower import EvacuationFollower
 from beamloom.protocol.view_messages import ViewDigest
 from beamloom.replication.object_watch import ChangeBatch, ListPage, ListRequest, WatchRequest
-from beamloom.replication.reader_duty import ReaderDuty
-from beamloom.replication.reading_times import evacuation_reading_times, reading_times
+from beamloom.replication.reader_role import ReaderRole
+from beamloom.replication.store_call_times import evacuation_store_call_times, store_call_times
 from beamloom.replication.store_view import NamedRecord, ObjectChange
 from beamloom.routing.tokens.packets import PacketKind, RefusalReason, ResetFlow
 from beamloom.routing.tokens.records import ZoneEvacuation
@@ -29,9 +29,9 @@
 
 def make_follower(**options: object) -> EvacuationFollower:
     rng = random.Random(1)
-    duty = ReaderDuty("5", rng, reading_times())
-    times = evacuation_reading_times(BOUND_SECONDS)
-    return EvacuationFollower(duty, rng, times, **options)  # type: ignore[arg-type]
+    role = ReaderRole("5", rng, store_call_times())
+    times = evacuation_store_call_times(BOUND_SECONDS)
+    return EvacuationFollower(role, rng, times, **options)  # type: ignore[arg-type]
 
 
 def evacuation(zone: str, revision: int = 7) -> ObjectChange[ZoneEvacuation]:
@@ -98,7 +98,7 @@
         self.follower.apply((evacuation("east"),), START + 1.0)
         self.follower.apply((evacuation_ended("west"),), START + 2.0)
         self.assertEqual(self.zones, [{"west"}, {"west", "east"}, {"east"}])
-        self.assertEqual(self.follower.since, {"east": START + 1.0})
+        self.assertEqual(self.follower.evacuated_since, {"east": START + 1.0})
 
     def test_revision_at_the_end_of_an_evacuation_is_reported(self) -> None:
         returns: list[Mapping[str, int]] = []
@@ -117,47 +117,47 @@
     def test_the_first_list_may_be_stale_and_empty(self) -> None:
         watch = self.follower.watch
         self.assertEqual(watch.next_request(), ListRequest("", stale=True))
-        watch.take_page(ListPage((), False, 9, ""), asked_at=START)
+        watch.handle_page(ListPage((), False, 9, ""), asked_at=START)
         self.assertTrue(watch.holds_stale)
         self.assertEqual(watch.next_request(), ListRequest(""))
         self.assertIsNone(self.follower.view.confirmed_at)
-        watch.take_page(ListPage((), False, 9, ""), asked_at=START)
+        watch.handle_page(ListPage((), False, 9, ""), asked_at=START)
         self.assertEqual(watch.next_request(), WatchRequest(9))
 
     def test_older_list_ends_no_evacuation(self) -> None:
         named = NamedRecord("west", 7, ZoneEvacuation("west"))
         self.follower.apply(self.follower.view.replace([named], 9), START)
         self.follower.apply(self.follower.view.replace([], 8), START)
-        self.assertEqual(set(self.follower.since), {"west"})
+        self.assertEqual(set(self.follower.evacuated_since), {"west"})
 
 
 class StartTest(unittest.TestCase):
     def test_starting_node_waits_for_its_peers_before_it_lists(self) -> None:
-        turn = make_follower().turn
-        times = evacuation_reading_times(BOUND_SECONDS)
-        self.assertFalse(turn.must_ask(START))
-        self.assertFalse(turn.must_ask(START + times.unconfirmed_seconds - 0.01))
-        self.assertTrue(turn.must_ask(START + times.unconfirmed_seconds + 0.31))
+        schedule = make_follower().schedule
+        times = evacuation_store_call_times(BOUND_SECONDS)
+        self.assertFalse(schedule.must_ask(START))
+        self.assertFalse(schedule.must_ask(START + times.unconfirmed_seconds - 0.01))
+        self.assertTrue(schedule.must_ask(START + times.unconfirmed_seconds + 0.31))
 
     def test_node_without_evacuations_from_peers_lists_at_once(self) -> None:
         off = mechanisms_without("evacuations_from_peers")
-        self.assertTrue(make_follower(mechanisms=off).turn.must_ask(START))
+        self.assertTrue(make_follower(mechanisms=off).schedule.must_ask(START))
 
     def test_seed_lists_at_once_and_not_stale(self) -> None:
         """Starting nodes ask the seeds first, and stale lists are not passed on to peers."""
         seed = make_follower(is_seed=True)
-        self.assertTrue(seed.turn.must_ask(START))
+        self.assertTrue(seed.schedule.must_ask(START))
         self.assertEqual(seed.watch.next_request(), ListRequest("", stale=False))
 
     def test_lost_history_requires_a_list_at_once(self) -> None:
         follower = make_follower()
-        follower.watch.take_page(ListPage((), False, 9, ""), asked_at=START)
-        follower.watch.take_lost_history()
-        self.assertTrue(follower.turn.must_ask(START))
+        follower.watch.handle_page(ListPage((), False, 9, ""), asked_at=START)
+        follower.watch.handle_lost_history()
+        self.assertTrue(follower.schedule.must_ask(START))
 
     def test_nodes_learn_within_the_bound_after_all_readers_fail(self) -> None:
         """The longest staleness, its random spread, a tick and a call fit into the bound."""
-        times = evacuation_reading_times(BOUND_SECONDS)
+        times = evacuation_store_call_times(BOUND_SECONDS)
         self.assertLessEqual(times.stale_seconds + 0.3 + 0.25 + 0.4, BOUND_SECONDS)
         self.assertLess(times.wait_seconds, times.stale_seconds)
 
@@ -173,11 +173,11 @@
             core.advance(START)
         assert sender.evacuations is not None
         assert receiver.evacuations is not None
-        sender.evacuations.watch.take_page(ListPage((), False, 9, ""), asked_at=START)
-        changes = sender.evacuations.watch.take_changes(
+        sender.evacuations.watch.handle_page(ListPage((), False, 9, ""), asked_at=START)
+        changes = sender.evacuations.watch.handle_changes(
             ChangeBatch((evacuation("east"),), 9), START
         )
-        sender.take_evacuations(changes, START)
+        sender.apply_evacuations(changes, START)
         sender.handle_message("10.0.0.2", ViewDigest([], [], []), START)
         for _ in range(4):
             for core, host, other in (
@@ -186,7 +186,7 @@
             ):
                 for send in core.take_sends():
                     other.handle_message(host, send.message, START)
-        self.assertEqual(set(receiver.evacuations.since), {"east"})
+        self.assertEqual(set(receiver.evacuations.evacuated_since), {"east"})
 
     def test_platform_without_evacuations_is_not_polled_for_them(self) -> None:
         self.assertIsNone(new_core().evacuations)
--- a/tests/unit/tokens/test_token_core.py
+++ b/tests/unit/tokens/test_token_core.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from beamloom.node.backend_judge import PEER_SUSPICION_SECONDS
+from beamloom.node.backend_failure_handler import PEER_SUSPICION_SECONDS
 from beamloom.node.token_core import (
     CONFIRMATION_TIMEOUT_SECONDS,
     LATE_SECONDS,
@@ -12,7 +12,7 @@
 )
 from beamloom.protocol.view_messages import ViewDigest
 from beamloom.replication.object_watch import ChangeBatch, ListPage, ListRequest
-from beamloom.replication.reading_times import reading_times
+from beamloom.replication.store_call_times import store_call_times
 from beamloom.replication.store_view import NamedRecord
 from beamloom.routing.tokens.packets import (
     DropPacket,
@@ -47,48 +47,48 @@
 
     def test_stall_is_returned_when_packets_are_read_before_timers(self) -> None:
         resumed_at = START + STALL_THRESHOLD_SECONDS + 0.5
-        self.assertTrue(self.core.take_stall(resumed_at))
+        self.assertTrue(self.core.consume_stall(resumed_at))
         self.core.advance(resumed_at)
-        self.assertFalse(self.core.take_stall(resumed_at))
+        self.assertFalse(self.core.consume_stall(resumed_at))
 
     def test_stall_is_returned_once_when_packets_are_read_after_timers(self) -> None:
         resumed_at = START + STALL_THRESHOLD_SECONDS + 0.5
         self.core.advance(resumed_at)
-        self.assertTrue(self.core.take_stall(resumed_at))
-        self.assertFalse(self.core.take_stall(resumed_at))
+        self.assertTrue(self.core.consume_stall(resumed_at))
+        self.assertFalse(self.core.consume_stall(resumed_at))
 
     def test_stall_is_over_for_packets_after_the_next_tick(self) -> None:
         resumed_at = START + STALL_THRESHOLD_SECONDS + 0.5
         self.core.advance(resumed_at)
         self.core.advance(resumed_at + 0.25)
-        self.assertFalse(self.core.take_stall(resumed_at + 0.3))
+        self.assertFalse(self.core.consume_stall(resumed_at + 0.3))
 
     def test_regular_ticks_are_no_stall(self) -> None:
         self.core.advance(START + 0.25)
-        self.assertFalse(self.core.take_stall(START + 0.3))
+        self.assertFalse(self.core.consume_stall(START + 0.3))
 
 
 class CoreCase(unittest.TestCase):
     def setUp(self) -> None:
         self.core = new_core()
-        self.core.use_key(KEY)
+        self.core.set_secrets(KEY)
         self.list_backends(backend(1, "other"))
         named = NamedRecord("main", 2, configuration(1, "tracker"))
         page = ListPage((named,), False, 9, "main")
-        changes = self.core.configuration_watch.take_page(page, asked_at=START)
-        self.core.take_configuration(changes, START)
+        changes = self.core.configuration_watch.handle_page(page, asked_at=START)
+        self.core.apply_configuration(changes, START)
 
     def list_backends(self, *records: BackendRecord) -> None:
         named = tuple(NamedRecord(record.name, 3, record) for record in records)
         page = ListPage(named, False, 9, named[-1].name)
-        changes = self.core.backend_watch.take_page(page, asked_at=START)
-        self.core.take_backends(changes, START)
+        changes = self.core.backend_watch.handle_page(page, asked_at=START)
+        self.core.apply_backends(changes, START)
 
     def confirm(self, now: float) -> None:
-        self.core.backend_watch.take_changes(ChangeBatch((), 9), now)
-        self.core.take_backends((), now)
-        self.core.configuration_watch.take_changes(ChangeBatch((), 9), now)
-        self.core.take_configuration((), now)
+        self.core.backend_watch.handle_changes(ChangeBatch((), 9), now)
+        self.core.apply_backends((), now)
+        self.core.configuration_watch.handle_changes(ChangeBatch((), 9), now)
+        self.core.apply_configuration((), now)
 
     def open_flow(self, now: float, destination: bytes | None = None) -> RouterCommand:
         packet = opening(1) if destination is None else opening(1, destination=destination)
@@ -98,8 +98,8 @@
 class StartTest(unittest.TestCase):
     def test_first_list_of_backends_is_not_stale(self) -> None:
         """After a store outage a stale list may hold only a few of the backends."""
-        times, observer = reading_times(), QuietObserver()
-        core = TokenCore(ZONE, "5-node", "main", observer, chance=random.Random(1), times=times)
+        times, observer = store_call_times(), QuietObserver()
+        core = TokenCore(ZONE, "5-node", "main", observer, rng=random.Random(1), times=times)
         self.assertEqual(core.backend_watch.next_request(), ListRequest(""))
         self.assertEqual(core.configuration_watch.next_request(), ListRequest("", stale=True))
 
