--- a/src/beamloom/admission/limits.py
+++ b/src/beamloom/admission/limits.py
@@ -17,12 +17,12 @@
 from beamloom.protocol.commands import Command
 from beamloom.protocol.messages import Message
 
-REFILL_INTERVAL = 0.1
+REFILL_INTERVAL_SECONDS = 0.1
 PACKET_BURST_SECONDS = 0.25
 FLOW_BURST_SECONDS = 0.5
 FLOW_BURST_MINIMUM = 8.0
-MAXIMUM_RETRY_AFTER = 30.0
-QUOTA_RETRY_AFTER = 5.0
+MAXIMUM_RETRY_AFTER_SECONDS = 30.0
+QUOTA_RETRY_AFTER_SECONDS = 5.0
 CONTENDED_OCCUPANCY = 0.9
 UNLIMITED_PACKETS = 1 << 62
 
@@ -118,13 +118,14 @@
     def next_retry_after(self, now: float) -> float:
         """Return the seconds after which a refused client may retry.
 
-        Successive clients are spaced by the interval of the flow rate, up to MAXIMUM_RETRY_AFTER.
+        Successive clients are spaced by the interval of the flow rate, up to
+        MAXIMUM_RETRY_AFTER_SECONDS.
         """
         if self.flow_rate <= 0.0:
-            return MAXIMUM_RETRY_AFTER
+            return MAXIMUM_RETRY_AFTER_SECONDS
         interval = 1.0 / self.flow_rate
         self.last_retry_at = max(self.last_retry_at, now) + interval
-        latest = now + MAXIMUM_RETRY_AFTER
+        latest = now + MAXIMUM_RETRY_AFTER_SECONDS
         self.last_retry_at = min(self.last_retry_at, latest)
         return self.last_retry_at - now
 
@@ -215,7 +216,7 @@
     def poll(self, now: float) -> list[Command]:
         """Refill the packet budgets if a refill is due."""
         elapsed = now - self._refilled_at
-        if elapsed < REFILL_INTERVAL * 0.999:
+        if elapsed < REFILL_INTERVAL_SECONDS * 0.999:
             return []
         self._refilled_at = now
         for account in self._packet_limited:
@@ -224,7 +225,7 @@
 
     def next_timer(self) -> float | None:
         """Return the time of the next refill; None while no tenant has a packet limit."""
-        return self._refilled_at + REFILL_INTERVAL if self._packet_limited else None
+        return self._refilled_at + REFILL_INTERVAL_SECONDS if self._packet_limited else None
 
     def snapshot(self) -> dict[str, TenantAdmissionStatus]:
         """Return each tenant's counters."""
@@ -232,9 +233,9 @@
 
     def _decide(self, account: TenantAccount, now: float) -> AdmissionAnswer:
         if self._table_quota_exceeded(account):
-            return AdmissionAnswer(AdmissionDecision.REFUSE_TABLE, QUOTA_RETRY_AFTER)
+            return AdmissionAnswer(AdmissionDecision.REFUSE_TABLE, QUOTA_RETRY_AFTER_SECONDS)
         if account.limits.open_flows and account.open_flows >= account.open_flow_quota:
-            return AdmissionAnswer(AdmissionDecision.REFUSE_OPEN_FLOWS, QUOTA_RETRY_AFTER)
+            return AdmissionAnswer(AdmissionDecision.REFUSE_OPEN_FLOWS, QUOTA_RETRY_AFTER_SECONDS)
         if account.flow_rate != math.inf and account.tokens < 1.0:
             return AdmissionAnswer(AdmissionDecision.REFUSE_RATE, account.next_retry_after(now))
         return ADMITTED
--- a/src/beamloom/membership/core.py
+++ b/src/beamloom/membership/core.py
@@ -36,7 +36,7 @@
 from beamloom.protocol.messages import Message
 
 NEVER = float("inf")
-DEATH_NOTICE_INTERVAL = 1.0
+DEATH_NOTICE_INTERVAL_SECONDS = 1.0
 
 
 class MembershipCore:
@@ -210,7 +210,7 @@
             return
         if member.state is not MemberState.DEAD or isinstance(message, Ping):
             return
-        if now - self._death_notices.get(sender, -NEVER) >= DEATH_NOTICE_INTERVAL:
+        if now - self._death_notices.get(sender, -NEVER) >= DEATH_NOTICE_INTERVAL_SECONDS:
             self._death_notices[sender] = now
             notice = self._tracker.table.update_of(sender).encode()
             self._outbox.append(SendMessage(sender, Gossip([notice])))
@@ -237,7 +237,7 @@
     def _gossip(self, now: float) -> None:
         self._next_gossip = now + self._settings.gossip_interval
         for node_id, sent_at in list(self._death_notices.items()):
-            if now - sent_at >= DEATH_NOTICE_INTERVAL:
+            if now - sent_at >= DEATH_NOTICE_INTERVAL_SECONDS:
                 del self._death_notices[node_id]
         self._gossip_to(1)
 
--- a/src/beamloom/membership/synchronizer.py
+++ b/src/beamloom/membership/synchronizer.py
@@ -31,12 +31,12 @@
 
 NEVER = float("inf")
 MEMBERS_PER_REQUEST = 8
-MEMBER_REQUEST_INTERVAL = 0.5
+MEMBER_REQUEST_INTERVAL_SECONDS = 0.5
 SPLIT_LIVE_PER_DEAD = 2
 """With one dead member for this many live ones, or more, a network split is assumed."""
 SPLIT_CONTACT_SECONDS = 0.25
 """Target interval, over all live nodes, between digests sent to dead members during a split."""
-SPLIT_DIGEST_FLOOR = 0.5
+SPLIT_DIGEST_FLOOR_SECONDS = 0.5
 JITTER = 0.25
 
 
@@ -112,11 +112,11 @@
             self.request_members(sender, unknown, now)
 
     def request_members(self, peer: NodeId, node_ids: Sequence[NodeId], now: float) -> None:
-        """Request full entries from a peer, once per `MEMBER_REQUEST_INTERVAL` at most."""
+        """Request full entries from a peer, once per `MEMBER_REQUEST_INTERVAL_SECONDS` at most."""
         self._tracker.counters.unknown_members += len(node_ids)
         if now < self._next_member_request or peer not in self._tracker.table.members:
             return
-        self._next_member_request = now + MEMBER_REQUEST_INTERVAL
+        self._next_member_request = now + MEMBER_REQUEST_INTERVAL_SECONDS
         self._send(peer, MemberRequest(list(node_ids[:MEMBERS_PER_REQUEST])))
 
     def answer_join(self, sender: NodeId, request: JoinRequest, now: float) -> bool:
@@ -265,7 +265,7 @@
         interval = self._settings.digest_interval
         if self._looks_split():
             split_interval = (len(self._tracker.table.peers) + 1) * SPLIT_CONTACT_SECONDS
-            interval = min(interval, max(SPLIT_DIGEST_FLOOR, split_interval))
+            interval = min(interval, max(SPLIT_DIGEST_FLOOR_SECONDS, split_interval))
         return interval * spread
 
     def _looks_split(self) -> bool:
--- a/src/beamloom/replication/backend_status/checking.py
+++ b/src/beamloom/replication/backend_status/checking.py
@@ -11,7 +11,7 @@
 from beamloom.protocol.backend_messages import WatcherOpinion
 from beamloom.protocol.commands import CheckBackend, Command, SendMessage
 from beamloom.protocol.events import BackendChecked
-from beamloom.replication.backend_status.load_reports import FROZEN_AFTER, LoadTracker
+from beamloom.replication.backend_status.load_reports import FROZEN_AFTER_SECONDS, LoadTracker
 from beamloom.replication.backend_status.register import (
     StatusReason,
     StatusRecord,
@@ -23,7 +23,7 @@
 
 CHECK_JITTER = 0.1
 RECHECK_FACTOR = 0.5
-WEIGHT_PUBLISH_INTERVAL = 30.0
+WEIGHT_PUBLISH_INTERVAL_SECONDS = 30.0
 MINIMUM_FOR_LOCAL_FAULT = 2
 
 
@@ -73,7 +73,7 @@
             if item is None:
                 item = self._start_watching(backend, interval, now)
             item.backend = backend
-            item.check_interval = interval
+            item.check_interval_seconds = interval
             item.update_watchers(watchers, self._node_id)
             watched[backend.backend_number] = item
         self._watched = watched
@@ -140,7 +140,11 @@
     def _check_delay(self, item: WatchedBackend) -> float:
         """Return the time to the next check; it is shorter while a failure awaits confirmation."""
         share = RECHECK_FACTOR if item.is_confirming_failure else 1.0
-        return item.check_interval * share * self._rng.uniform(1 - CHECK_JITTER, 1 + CHECK_JITTER)
+        return (
+            item.check_interval_seconds
+            * share
+            * self._rng.uniform(1 - CHECK_JITTER, 1 + CHECK_JITTER)
+        )
 
     def _schedule(self, item: WatchedBackend, at: float) -> None:
         item.next_check = at
@@ -197,7 +201,7 @@
         )
         if item.load_reports.weight_class == current.weight_class:
             return
-        if now - item.weight_published_at < WEIGHT_PUBLISH_INTERVAL:
+        if now - item.weight_published_at < WEIGHT_PUBLISH_INTERVAL_SECONDS:
             return
         item.weight_published_at = now
         frozen = item.load_reports.frozen
@@ -209,10 +213,12 @@
 
         At least half of the other watched backends' reports must have changed recently.
         """
-        if now - item.load_reports.unchanged_since < FROZEN_AFTER:
+        if now - item.load_reports.unchanged_since < FROZEN_AFTER_SECONDS:
             return False
         others = [other for other in self._watched.values() if other is not item]
-        changing = sum(now - other.load_reports.unchanged_since < FROZEN_AFTER for other in others)
+        changing = sum(
+            now - other.load_reports.unchanged_since < FROZEN_AFTER_SECONDS for other in others
+        )
         return changing > 0 and 2 * changing >= len(others)
 
     def _queue_record(self, number: int, record: StatusRecord) -> None:
--- a/src/beamloom/replication/backend_status/evidence.py
+++ b/src/beamloom/replication/backend_status/evidence.py
@@ -8,13 +8,13 @@
 
 from beamloom.replication.backend_status.load_reports import NEUTRAL_CLASS
 
-REFUSAL_WINDOW = 10.0
+REFUSAL_WINDOW_SECONDS = 10.0
 REFUSALS_TO_PAUSE = 3
 PAUSE_SECONDS = 5.0
 ANSWER_SMOOTHING = 0.05
 MINIMUM_SAMPLES = 20
 SLOW_FACTOR = 2.0
-SAMPLE_LIFETIME = 60.0
+SAMPLE_LIFETIME_SECONDS = 60.0
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
 
     def add_refusal(self, now: float) -> None:
         """Count a refused connection; several within the window pause the backend at this home."""
-        if now - self.refusals_since > REFUSAL_WINDOW:
+        if now - self.refusals_since > REFUSAL_WINDOW_SECONDS:
             self.refusals_since = now
             self.refusals = 0
         self.refusals += 1
@@ -42,7 +42,7 @@
 
     def add_answer_time(self, seconds: float, now: float) -> None:
         """Add the time from a flow's first payload to the backend's first payload."""
-        if now - self.sampled_at > SAMPLE_LIFETIME:
+        if now - self.sampled_at > SAMPLE_LIFETIME_SECONDS:
             self.samples = 0
         weight = max(ANSWER_SMOOTHING, 1.0 / (self.samples + 1))
         self.answer_seconds += weight * (seconds - self.answer_seconds)
@@ -51,7 +51,7 @@
 
     def has_enough_samples(self, now: float) -> bool:
         """Return whether there are enough answer times, the newest of them recent."""
-        return self.samples >= MINIMUM_SAMPLES and now - self.sampled_at <= SAMPLE_LIFETIME
+        return self.samples >= MINIMUM_SAMPLES and now - self.sampled_at <= SAMPLE_LIFETIME_SECONDS
 
     def contradicts(self, weight_class: int, median_seconds: float, now: float) -> bool:
         """Return whether the observations contradict the reported class.
@@ -59,7 +59,7 @@
         They contradict a class above neutral if the backend recently refused a connection or is
         far slower than `median_seconds`, and a class below neutral if it did not and is no slower.
         """
-        refused_recently = self.refusals > 0 and now - self.refusals_since <= REFUSAL_WINDOW
+        refused_recently = self.refusals > 0 and now - self.refusals_since <= REFUSAL_WINDOW_SECONDS
         if weight_class > NEUTRAL_CLASS:
             return refused_recently or self.answer_seconds > SLOW_FACTOR * median_seconds
         if weight_class < NEUTRAL_CLASS:
--- a/src/beamloom/replication/backend_status/gossip.py
+++ b/src/beamloom/replication/backend_status/gossip.py
@@ -29,16 +29,16 @@
 from beamloom.protocol.messages import Message
 from beamloom.replication.backend_status.register import StatusRegister
 
-URGENT_DELAY = 0.25
-PUSH_INTERVAL = 5.0
+URGENT_DELAY_SECONDS = 0.25
+PUSH_INTERVAL_SECONDS = 5.0
 PUSH_FANOUT = 4
 BACKLOG_FANOUT = 2
 BACKLOG_THRESHOLD = 60
-RETRY_INTERVAL = 1.0
-DIGEST_INTERVAL = 10.0
-EXCEPTIONS_INTERVAL = 2.0
-LAGGING_INTERVAL = 4.0
-JOINING_INTERVAL = 0.5
+RETRY_INTERVAL_SECONDS = 1.0
+DIGEST_INTERVAL_SECONDS = 10.0
+EXCEPTIONS_INTERVAL_SECONDS = 2.0
+LAGGING_INTERVAL_SECONDS = 4.0
+JOINING_INTERVAL_SECONDS = 0.5
 PULLED_BUCKETS = 32
 PULLED_RECORDS = 2 * MAXIMUM_BATCH_RECORDS
 RESERVED_FOR_REPAIR = 700.0
@@ -82,9 +82,9 @@
         self._urgent: dict[int, None] = {}
         self._tokens = BURST_BYTES
         self._refilled_at = now
-        self._push_at = now + rng.random() * PUSH_INTERVAL
-        self._digest_at = now + rng.random() * JOINING_INTERVAL
-        self._exceptions_at = now + rng.random() * EXCEPTIONS_INTERVAL
+        self._push_at = now + rng.random() * PUSH_INTERVAL_SECONDS
+        self._digest_at = now + rng.random() * JOINING_INTERVAL_SECONDS
+        self._exceptions_at = now + rng.random() * EXCEPTIONS_INTERVAL_SECONDS
         self.exceptions_synchronized = False
         self._joining = True
         self._lagging = False
@@ -98,7 +98,7 @@
         self._peers = peers
 
     def publish(self, backend_number: int, now: float, *, urgent: bool) -> None:
-        """Queue a record: an urgent one for a push within `URGENT_DELAY`, others for a later one.
+        """Queue a record for a push, an urgent one within `URGENT_DELAY_SECONDS`.
 
         If the queue is full, the record spreads by digests only.
         """
@@ -107,7 +107,7 @@
             return
         queue[backend_number] = None
         if urgent:
-            self._push_at = min(self._push_at, now + URGENT_DELAY)
+            self._push_at = min(self._push_at, now + URGENT_DELAY_SECONDS)
 
     def receive_digest(self, sender: NodeId, message: StatusDigest, now: float) -> list[Command]:
         """Answer differing exceptions with records, and a differing root with bucket digests."""
@@ -172,7 +172,9 @@
         commands: list[Command] = []
         if now >= self._push_at:
             commands += self._push(now)
-            self._push_at = now + (RETRY_INTERVAL if self._urgent else PUSH_INTERVAL)
+            self._push_at = now + (
+                RETRY_INTERVAL_SECONDS if self._urgent else PUSH_INTERVAL_SECONDS
+            )
         if now >= self._digest_at:
             self._digest_at = now + self._digest_interval() * self._rng.uniform(0.8, 1.2)
             commands += self._send_digest(now)
@@ -198,8 +200,8 @@
 
     def _digest_interval(self) -> float:
         if self._joining:
-            return JOINING_INTERVAL
-        return LAGGING_INTERVAL if self._lagging else DIGEST_INTERVAL
+            return JOINING_INTERVAL_SECONDS
+        return LAGGING_INTERVAL_SECONDS if self._lagging else DIGEST_INTERVAL_SECONDS
 
     def _push(self, now: float) -> list[Command]:
         queued = len(self._urgent) or len(self._queue)
@@ -255,7 +257,7 @@
         return self._send_within_rate([peer], message, _batch_size(count), now, reserved=0.0)
 
     def _send_exceptions_digest(self, now: float) -> list[Command]:
-        self._exceptions_at = now + EXCEPTIONS_INTERVAL * self._rng.uniform(0.8, 1.2)
+        self._exceptions_at = now + EXCEPTIONS_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2)
         if not self._peers:
             self.exceptions_synchronized = True
             return []
--- a/src/beamloom/replication/backend_status/load_reports.py
+++ b/src/beamloom/replication/backend_status/load_reports.py
@@ -14,9 +14,9 @@
 NEUTRAL_LOAD = 0.5
 FACTOR_PER_LOAD = 0.5
 SMOOTHING = 0.2
-CLASS_CHANGE_INTERVAL = 10.0
+CLASS_CHANGE_INTERVAL_SECONDS = 10.0
 CLASS_HYSTERESIS = 0.1
-FROZEN_AFTER = 60.0
+FROZEN_AFTER_SECONDS = 60.0
 
 
 def class_factor(weight_class: int) -> float:
@@ -55,8 +55,8 @@
 
     def update_class(self, *, others_changing: bool, now: float) -> None:
         """Move at most one class, towards neutral if the report is frozen while others change."""
-        self.frozen = others_changing and now - self.unchanged_since >= FROZEN_AFTER
-        if now - self._class_changed_at < CLASS_CHANGE_INTERVAL:
+        self.frozen = others_changing and now - self.unchanged_since >= FROZEN_AFTER_SECONDS
+        if now - self._class_changed_at < CLASS_CHANGE_INTERVAL_SECONDS:
             return
         target_class = self._target_class()
         if target_class != self.weight_class:
--- a/src/beamloom/replication/backend_status/watchers.py
+++ b/src/beamloom/replication/backend_status/watchers.py
@@ -36,7 +36,7 @@
     make_view,
 )
 
-REPORT_COMPARISON_INTERVAL = 2.0
+REPORT_COMPARISON_INTERVAL_SECONDS = 2.0
 _UNKNOWN = BackendOperatingStatus.UNKNOWN
 _ONLINE = BackendOperatingStatus.ONLINE
 
@@ -63,7 +63,7 @@
 class _BackendEntry:
     backend: Backend
     service_number: int
-    check_interval: float
+    check_interval_seconds: float
     ramp_seconds: float
 
 
@@ -87,7 +87,7 @@
         self._evidence: dict[int, BackendEvidence] = {}
         self._backends_by_service: dict[int, list[int]] = {}
         self._sampled_services: set[int] = set()
-        self._compare_reports_at = now + REPORT_COMPARISON_INTERVAL
+        self._compare_reports_at = now + REPORT_COMPARISON_INTERVAL_SECONDS
         self._unknown_records = 0
         self._refusals_seen = 0
         self._answer_times_seen = 0
@@ -191,7 +191,7 @@
         commands += self._publish_pending_records(now)
         commands += self._gossip.poll(now)
         if now >= self._compare_reports_at:
-            self._compare_reports_at = now + REPORT_COMPARISON_INTERVAL
+            self._compare_reports_at = now + REPORT_COMPARISON_INTERVAL_SECONDS
             self._compare_reports(now)
         return commands
 
@@ -222,7 +222,7 @@
         numbers = self._assignment.watched_by(self._node_id)
         entries = [(number, self._backends[number]) for number in numbers]
         watched = [
-            (entry.backend, entry.check_interval, self._assignment.watchers(number))
+            (entry.backend, entry.check_interval_seconds, self._assignment.watchers(number))
             for number, entry in entries
         ]
         self._checker.update(watched, now)
@@ -340,6 +340,6 @@
     return _BackendEntry(
         backend=backend,
         service_number=service.service_number,
-        check_interval=service.policy.backend_check_interval,
+        check_interval_seconds=service.policy.backend_check_interval,
         ramp_seconds=service.policy.backend_cold_start_ramp,
     )
--- a/src/beamloom/replication/backend_status/watching.py
+++ b/src/beamloom/replication/backend_status/watching.py
@@ -10,17 +10,17 @@
 from beamloom.replication.backend_status.load_reports import NEUTRAL_CLASS, LoadTracker
 from beamloom.replication.backend_status.register import StatusReason, StatusRecord
 
-ASK_INTERVAL = 10.0
-ASK_RETRY_INTERVAL = 2.0
-SECOND_WATCHER_DELAY = 4.0
-ANSWER_TIMEOUT = 6.0
-OPINION_LIFETIME = 12.0
+ASK_INTERVAL_SECONDS = 10.0
+ASK_RETRY_INTERVAL_SECONDS = 2.0
+SECOND_WATCHER_DELAY_SECONDS = 4.0
+ANSWER_TIMEOUT_SECONDS = 6.0
+OPINION_LIFETIME_SECONDS = 12.0
 _OFFLINE = BackendOperatingStatus.OFFLINE
 
 
 @dataclass(slots=True)
 class WatchedBackend:
-    """State of a backend that this node checks every `check_interval` seconds.
+    """State of a backend that this node checks every `check_interval_seconds`.
 
     `co_watcher` is the other watcher, None if this node is the only one. `differs_since` is when
     this watcher first needed the other's opinion on a status that differs from the register's.
@@ -28,7 +28,7 @@
     """
 
     backend: Backend
-    check_interval: float
+    check_interval_seconds: float
     load_reports: LoadTracker
     next_check: float
     is_first: bool = True
@@ -72,16 +72,16 @@
     def ask_if_due(self, now: float) -> bool:
         """Return whether to ask the other watcher now; if so, record the time.
 
-        Unless its status is OFFLINE, the second watcher first waits `SECOND_WATCHER_DELAY`, so that
-        the first can publish.
+        Unless its status is OFFLINE, the second watcher first waits
+        `SECOND_WATCHER_DELAY_SECONDS`, so that the first can publish.
         """
         if self.differs_since is None:
             self.differs_since = now
         first_publishes = not self.is_first and self.health.status is not _OFFLINE
-        if first_publishes and now - self.differs_since < SECOND_WATCHER_DELAY:
+        if first_publishes and now - self.differs_since < SECOND_WATCHER_DELAY_SECONDS:
             return False
         lacks_opinion = self.other_opinion(now) is None
-        interval = ASK_RETRY_INTERVAL if lacks_opinion else ASK_INTERVAL
+        interval = ASK_RETRY_INTERVAL_SECONDS if lacks_opinion else ASK_INTERVAL_SECONDS
         if self.asked_at is not None and now - self.asked_at < interval:
             return False
         self.asked_at = now
@@ -91,7 +91,7 @@
 
     def other_opinion(self, now: float) -> BackendOperatingStatus | None:
         """Return the other watcher's opinion, None if it is missing, UNKNOWN or too old."""
-        if now - self.other_status_at > OPINION_LIFETIME:
+        if now - self.other_status_at > OPINION_LIFETIME_SECONDS:
             return None
         known = self.other_status is not BackendOperatingStatus.UNKNOWN
         return self.other_status if known else None
@@ -100,7 +100,7 @@
         """Return whether the other watcher has no valid opinion and did not answer in time."""
         if self.unanswered_since is None or self.other_opinion(now) is not None:
             return False
-        return now - self.unanswered_since >= ANSWER_TIMEOUT
+        return now - self.unanswered_since >= ANSWER_TIMEOUT_SECONDS
 
     def may_publish(self, now: float) -> bool:
         """Return whether this watcher may publish its own status.
--- a/src/beamloom/replication/change_push.py
+++ b/src/beamloom/replication/change_push.py
@@ -12,7 +12,7 @@
 BULK_FANOUT = 2
 BULK_BYTES = 500
 """A larger push goes to `BULK_FANOUT` peers; anti-entropy brings it to the others."""
-PUSH_INTERVAL = 0.05
+PUSH_INTERVAL_SECONDS = 0.05
 PUSH_BYTES_PER_SECOND = 2000
 MAXIMUM_PUSH_PAUSE = 2.0
 
@@ -51,5 +51,5 @@
             peers = self._peers.cover_zones(peers)
         messages = self._service.push(steps)
         pause = size * len(peers) / PUSH_BYTES_PER_SECOND
-        self._next_push_at = now + max(PUSH_INTERVAL, min(pause, MAXIMUM_PUSH_PAUSE))
+        self._next_push_at = now + max(PUSH_INTERVAL_SECONDS, min(pause, MAXIMUM_PUSH_PAUSE))
         return [SendMessage(peer, message) for peer in peers for message in messages]
--- a/src/beamloom/replication/configuration_replica.py
+++ b/src/beamloom/replication/configuration_replica.py
@@ -39,11 +39,11 @@
 from beamloom.replication.reader_directory import ReaderDirectory
 from beamloom.replication.snapshot_fetch import SnapshotFetch
 
-ANTI_ENTROPY_INTERVAL = 1.0
+ANTI_ENTROPY_INTERVAL_SECONDS = 1.0
 PENDING_LIMIT = 256
-LISTING_DELAY = 2.0
+LISTING_DELAY_SECONDS = 2.0
 """How long peers have to supply the changes up to a listing before it is applied."""
-SNAPSHOT_FETCH_TIMEOUT = 300.0
+SNAPSHOT_FETCH_TIMEOUT_SECONDS = 300.0
 """How much longer an empty node may postpone a listing to get a snapshot from ready peers."""
 MAXIMUM_CORRUPT_SNAPSHOTS = 2
 
@@ -99,7 +99,7 @@
         self._pull = ChangePull(self._peers)
         self._listing: _Listing | None = None
         self._pending: dict[int, ReplicatedChange] = {}
-        self._digest_at = now + rng.random() * ANTI_ENTROPY_INTERVAL
+        self._digest_at = now + rng.random() * ANTI_ENTROPY_INTERVAL_SECONDS
         self._counters = _Counters()
         self._handlers: dict[type[Message], MessageHandler] = {
             ChangesPushed: self._changes_pushed,
@@ -169,9 +169,9 @@
             return []
         no_peers_known = not self._peers.all
         fleet_may_be_ready = self.applied_revision > 0 or self._peers.any_alive or no_peers_known
-        delay = LISTING_DELAY * (lease_number + fleet_may_be_ready)
+        delay = LISTING_DELAY_SECONDS * (lease_number + fleet_may_be_ready)
         self._listing = _Listing(
-            revision, tuple(objects), now + delay, now + delay + SNAPSHOT_FETCH_TIMEOUT
+            revision, tuple(objects), now + delay, now + delay + SNAPSHOT_FETCH_TIMEOUT_SECONDS
         )
         request = ChangesRequested(self.applied_revision)
         peers = self._peers.sample(JOIN_PEERS) if self.applied_revision else []
@@ -257,7 +257,7 @@
         fetching = self.applied_revision == 0 and self._join.target_revision > 0
         snapshots_usable = self._counters.corrupt < MAXIMUM_CORRUPT_SNAPSHOTS
         if fetching and snapshots_usable and now < listing.apply_by:
-            self._listing = replace(listing, apply_at=now + LISTING_DELAY)
+            self._listing = replace(listing, apply_at=now + LISTING_DELAY_SECONDS)
             return
         self._listing = None
         self._join.store_listed()
@@ -336,7 +336,7 @@
         return commands + self._pull_from(sender, self._join.target_revision, now)
 
     def _offer_digests(self, now: float) -> list[Command]:
-        self._digest_at = now + ANTI_ENTROPY_INTERVAL
+        self._digest_at = now + ANTI_ENTROPY_INTERVAL_SECONDS
         digest = self._digest(wants_answer=not self.ready)
         peers = self._peers.sample(1 if self.ready else JOIN_PEERS)
         return [SendMessage(peer, digest) for peer in peers]
--- a/src/beamloom/replication/fleet_status.py
+++ b/src/beamloom/replication/fleet_status.py
@@ -24,9 +24,9 @@
 )
 from beamloom.replication.status_groups import StatusGroups
 
-REPORT_DELAY = 0.3
-REPORT_REFRESH = 60.0
-QUERY_RETRY_INTERVAL = 0.25
+REPORT_DELAY_SECONDS = 0.3
+REPORT_REFRESH_SECONDS = 60.0
+QUERY_RETRY_INTERVAL_SECONDS = 0.25
 MAXIMUM_ROUNDS = 16
 NAMES_PER_MESSAGE = 24
 
@@ -86,7 +86,7 @@
         self._reports: dict[NodeId, int] = {}
         self._reported = 0
         self._reported_to = node_id
-        self._report_at = now + rng.random() * REPORT_REFRESH
+        self._report_at = now + rng.random() * REPORT_REFRESH_SECONDS
         self._query: _Query | None = None
         self._query_count = 0
 
@@ -163,10 +163,10 @@
         )
 
     def _schedule_report(self, now: float) -> None:
-        self._report_at = min(self._report_at, now + self._rng.random() * REPORT_DELAY)
+        self._report_at = min(self._report_at, now + self._rng.random() * REPORT_DELAY_SECONDS)
 
     def _report(self, now: float) -> list[Command]:
-        self._report_at = now + REPORT_REFRESH * self._rng.uniform(0.8, 1.2)
+        self._report_at = now + REPORT_REFRESH_SECONDS * self._rng.uniform(0.8, 1.2)
         self._reported = self._applied_revision()
         self._reported_to = self._groups.own_aggregator
         if self._reported_to == self._node_id:
@@ -215,7 +215,7 @@
     def _next_round_at(self, query: _Query) -> float:
         if self._is_complete(query):
             return math.inf
-        return query.started_at + QUERY_RETRY_INTERVAL * query.rounds
+        return query.started_at + QUERY_RETRY_INTERVAL_SECONDS * query.rounds
 
     def _next_round(self, query: _Query, now: float) -> list[Command]:
         query.rounds += 1
--- a/src/beamloom/replication/join_progress.py
+++ b/src/beamloom/replication/join_progress.py
@@ -5,7 +5,7 @@
 from beamloom.model.machines import NodeId
 
 JOIN_PEERS = 3
-JOIN_ANSWER_TIMEOUT = 3.0
+JOIN_ANSWER_TIMEOUT_SECONDS = 3.0
 
 
 class JoinProgress:
@@ -28,7 +28,7 @@
             self._first_answer_at = now
         self._answers[peer] = max(revision, self._answers.get(peer, 0))
         enough = len(self._answers) >= min(JOIN_PEERS, peer_count)
-        self._enough_answers = enough or now >= self._first_answer_at + JOIN_ANSWER_TIMEOUT
+        self._enough_answers = enough or now >= self._first_answer_at + JOIN_ANSWER_TIMEOUT_SECONDS
 
     def revision_applied(self, revision: int) -> None:
         """Become ready if enough peers answered and `revision` is at least as high as theirs."""
--- a/src/beamloom/replication/snapshot_fetch.py
+++ b/src/beamloom/replication/snapshot_fetch.py
@@ -18,10 +18,10 @@
 from beamloom.replication.snapshot_sender import SnapshotName
 
 SOURCE_COUNT = 3
-OFFER_TIMEOUT = 0.5
-SOURCE_SEARCH_INTERVAL = 1.0
+OFFER_TIMEOUT_SECONDS = 0.5
+SOURCE_SEARCH_INTERVAL_SECONDS = 1.0
 REQUEST_WINDOW = 4
-PART_TIMEOUT = 10.0
+PART_TIMEOUT_SECONDS = 10.0
 """Seconds without a part after which a source is dropped; a sender's full queue takes less."""
 MAXIMUM_ROUNDS = 10
 """Rounds of requests without an offer before the fetch is abandoned."""
@@ -52,7 +52,7 @@
         self._excluded: set[NodeId] = set()
         self._suppliers: set[NodeId] = set()
         self._single_source = False
-        self._timer = now + OFFER_TIMEOUT
+        self._timer = now + OFFER_TIMEOUT_SECONDS
         self._rounds = 0
         self._source_searches = 0
         self.name: SnapshotName | None = None
@@ -107,7 +107,7 @@
         self.parts.setdefault(part.index, part.data)
         self._suppliers.add(sender)
         source.outstanding.discard(part.index)
-        source.deadline = now + PART_TIMEOUT
+        source.deadline = now + PART_TIMEOUT_SECONDS
         self._source_searches = 0
         if len(self.parts) == self.part_count:
             return self._complete(now), []
@@ -117,11 +117,11 @@
         """Choose a snapshot among the offers, drop expired sources and search for more."""
         if now < self._timer:
             return []
-        self._timer = now + OFFER_TIMEOUT
+        self._timer = now + OFFER_TIMEOUT_SECONDS
         if self.name is None:
             self._rounds += 1
             return self._choose(now) if self._offers else self.request_offers(peers)
-        self._timer = now + SOURCE_SEARCH_INTERVAL
+        self._timer = now + SOURCE_SEARCH_INTERVAL_SECONDS
         self._drop_expired_sources(now)
         if self.name is None or len(self._sources) >= self._source_limit:
             return []
@@ -157,7 +157,7 @@
             return []
         bitmap = int.from_bytes(offer.held, "little")
         held = {index for index in range(self.part_count) if bitmap >> index & 1}
-        self._sources[peer] = _Source(held if offer.held else None, now + PART_TIMEOUT)
+        self._sources[peer] = _Source(held if offer.held else None, now + PART_TIMEOUT_SECONDS)
         return self._request(peer, now)
 
     @property
@@ -178,7 +178,7 @@
             return []
         chosen = self._rng.sample(useful, min(REQUEST_WINDOW, len(useful)))
         source.outstanding = set(chosen)
-        source.deadline = now + PART_TIMEOUT
+        source.deadline = now + PART_TIMEOUT_SECONDS
         return [SendMessage(peer, SnapshotPartsRequested(*self._chosen_name, sorted(chosen)))]
 
     def _drop_expired_sources(self, now: float) -> None:
--- a/src/beamloom/routing/ownership.py
+++ b/src/beamloom/routing/ownership.py
@@ -71,7 +71,7 @@
     next_request_at: float
     disclaimed: set[NodeId] = field(default_factory=set)
     confirmed: bool = False
-    request_interval: float = FIRST_REQUEST_SECONDS
+    request_interval_seconds: float = FIRST_REQUEST_SECONDS
     only_newcomers_answered: bool = True
     member_named: bool = False
     rounds_left: int = REQUEST_ROUNDS - 1
@@ -346,8 +346,10 @@
         due: dict[NodeId, list[int]] = {}
         for partition, awaited in self.awaited.items():
             if awaited.next_request_at <= now:
-                awaited.next_request_at = now + awaited.request_interval
-                awaited.request_interval = min(2 * awaited.request_interval, LAST_REQUEST_SECONDS)
+                awaited.next_request_at = now + awaited.request_interval_seconds
+                awaited.request_interval_seconds = min(
+                    2 * awaited.request_interval_seconds, LAST_REQUEST_SECONDS
+                )
                 due.setdefault(awaited.owner, []).append(partition)
         return due
 
--- a/src/beamloom/routing/streams.py
+++ b/src/beamloom/routing/streams.py
@@ -51,7 +51,7 @@
     message: SynchronizationBatch
     closed: dict[int, PartitionMarkEntry]
     resend_at: float
-    resend_interval: float = FIRST_RESEND_SECONDS
+    resend_interval_seconds: float = FIRST_RESEND_SECONDS
 
 
 @dataclass(slots=True)
@@ -160,8 +160,8 @@
 def _resend(peer: NodeId, batch: InFlightBatch, now: float) -> Iterable[Command]:
     if batch.resend_at > now:
         return ()
-    batch.resend_interval = min(2 * batch.resend_interval, LAST_RESEND_SECONDS)
-    batch.resend_at = now + batch.resend_interval
+    batch.resend_interval_seconds = min(2 * batch.resend_interval_seconds, LAST_RESEND_SECONDS)
+    batch.resend_at = now + batch.resend_interval_seconds
     return (SendMessage(peer, batch.message),)
 
 
--- a/src/beamloom/runtime/own_usage.py
+++ b/src/beamloom/runtime/own_usage.py
@@ -17,7 +17,7 @@
 """Index of the resident pages in statm (proc(5))."""
 PEER_LINK_SHARE = 0.1
 """Fraction of the link that peer messages may use; the rest is for clients' packets."""
-SLOW_SAMPLE_INTERVAL = 5
+SAMPLES_PER_SLOW_SAMPLE = 5
 """Memory and descriptors, which cost several system calls, are read in every fifth sample."""
 
 
@@ -53,7 +53,7 @@
         spent = processor_seconds - self._processor_seconds
         transferred = peer_bytes - self._peer_bytes
         self._processor_seconds, self._peer_bytes = processor_seconds, peer_bytes
-        if self._samples % SLOW_SAMPLE_INTERVAL == 0:
+        if self._samples % SAMPLES_PER_SLOW_SAMPLE == 0:
             self._memory = self._share("memory_megabytes", self._read(_resident_megabytes))
             self._descriptors = self._share("descriptors", self._read(_open_descriptors))
         self._samples += 1
--- a/src/beamloom/simulation/tokens/store_restores.py
+++ b/src/beamloom/simulation/tokens/store_restores.py
@@ -35,8 +35,8 @@
     """Brings one part of the store up to date after a restore, with a random delay in seconds."""
 
     write: Callable[[], object]
-    maximum_delay: float
-    minimum_delay: float = 0.0
+    maximum_delay_seconds: float
+    minimum_delay_seconds: float = 0.0
 
 
 class RestorableDeployment(Protocol):
@@ -97,5 +97,5 @@
             copy = self._store.copy()
         self._store.restore(copy)
         for writer in self._deployment.writers():
-            seconds = self._rng.uniform(writer.minimum_delay, writer.maximum_delay)
+            seconds = self._rng.uniform(writer.minimum_delay_seconds, writer.maximum_delay_seconds)
             self._call_later(seconds, writer.write)
--- a/src/beamloom/standins/client_stream.py
+++ b/src/beamloom/standins/client_stream.py
@@ -16,14 +16,14 @@
     """Parameters of a stream; times are in seconds, `size` is that of each answer in bytes.
 
     An update is sent every `interval`; the flow times out if one is unanswered for
-    `answer_timeout`. Closing starts after `duration`, or only by `close` if that is zero.
+    `answer_timeout_seconds`. Closing starts after `duration`, or only by `close` if that is zero.
     """
 
     flow_id: str
     local: SocketAddress
     service: VirtualAddress
     interval: float = 5.0
-    answer_timeout: float = 15.0
+    answer_timeout_seconds: float = 15.0
     duration: float = 0.0
     size: int = 100
     tcp: TcpOptions = field(default_factory=TcpOptions)
@@ -81,7 +81,7 @@
 
     def _run_due_actions(self, now: float) -> None:
         oldest = next(iter(self._unanswered.values()), now)
-        if now >= oldest + self._options.answer_timeout:
+        if now >= oldest + self._options.answer_timeout_seconds:
             self._end_timed_out("updates unanswered", now)
             self._connection.abort()
             return
@@ -92,7 +92,9 @@
             self._send_update(now)
 
     def _next_action_time(self) -> float | None:
-        times = [sent_at + self._options.answer_timeout for sent_at in self._oldest_unanswered()]
+        times = [
+            sent_at + self._options.answer_timeout_seconds for sent_at in self._oldest_unanswered()
+        ]
         if not self._closing:
             times.append(self._next_update)
             times += [self._close_at] if self._close_at is not None else []
--- a/src/beamloom/standins/load.py
+++ b/src/beamloom/standins/load.py
@@ -181,14 +181,14 @@
     fabric: SocketAddress,
     services: Mapping[str, VirtualAddress],
     seed: int = 1,
-    close_timeout: float = 10.0,
+    close_timeout_seconds: float = 10.0,
     first_client: int = 0,
     progress: Callable[[int, int], None] | None = None,
 ) -> LoadResult:
     """Open `rate` flows a second for `duration` seconds, then close the streams, and summarize.
 
     `services` maps each service of the profile to its virtual address. `progress` is called with
-    the numbers of started and of open flows. Flows that have not ended `close_timeout` seconds
+    the numbers of started and of open flows. Flows that have not ended `close_timeout_seconds`
     after the streams are closed count as `not_ended`. Raises ValueError if an address is missing.
     """
     load_profile = PROFILES[profile]
@@ -204,7 +204,7 @@
         for flow in recorder.open_flows:
             if isinstance(flow, StreamFlow):
                 client.close_stream(flow)
-        await _wait_until_closed(client, close_timeout)
+        await _wait_until_closed(client, close_timeout_seconds)
         return recorder.result(rate, duration, late_ticks)
     finally:
         client.close()
@@ -258,9 +258,9 @@
             self._progress(self._started, len(self._recorder.open_flows))
 
 
-async def _wait_until_closed(client: ClientProcess, close_timeout: float) -> None:
-    """Wait until every flow and its connection have ended, or for `close_timeout` seconds."""
+async def _wait_until_closed(client: ClientProcess, close_timeout_seconds: float) -> None:
+    """Wait until every flow and its connection have ended, or for `close_timeout_seconds`."""
     loop = asyncio.get_running_loop()
-    deadline = loop.time() + close_timeout
+    deadline = loop.time() + close_timeout_seconds
     while len(client.host) and loop.time() < deadline:
         await asyncio.sleep(TICK_SECONDS)
--- a/tests/measurements/backend_status.py
+++ b/tests/measurements/backend_status.py
@@ -23,9 +23,9 @@
 
 DAY = 86_400.0
 WINDOW = 60.0
-SPREAD_TIMEOUT = 60.0
+SPREAD_TIMEOUT_SECONDS = 60.0
 RESTART_SECONDS = 20.0
-COLD_START_TIMEOUT = 180.0
+COLD_START_TIMEOUT_SECONDS = 180.0
 
 
 class Churn:
@@ -95,7 +95,7 @@
         while True:
             views = [node.status(number, fleet.now) for node in fleet.nodes.values()]
             offline = sum(view.status is BackendOperatingStatus.OFFLINE for view in views)
-            if offline >= share * len(views) or fleet.now - start > SPREAD_TIMEOUT:
+            if offline >= share * len(views) or fleet.now - start > SPREAD_TIMEOUT_SECONDS:
                 break
             fleet.run(0.1)
         times.append(round(fleet.now - start, 1))
@@ -106,7 +106,7 @@
     """Return the records that nodes hold and the largest send rate of a node, every 30 s."""
     progress = []
     before = dict.fromkeys(fleet.nodes, 0)
-    while fleet.now < COLD_START_TIMEOUT:
+    while fleet.now < COLD_START_TIMEOUT_SECONDS:
         fleet.run(30.0)
         held = sorted(node.snapshot().records for node in fleet.nodes.values())
         largest = max(fleet.sent_bytes[node] - before[node] for node in fleet.nodes) / 30.0
--- a/tests/measurements/exchange_bytes.py
+++ b/tests/measurements/exchange_bytes.py
@@ -27,7 +27,7 @@
 LARGE = Capacity(2.15, 100.0, 300.0, 4100.0)
 SMALL = Capacity(0.116, 5.0, 152.0, 1024.0)
 ZONES = ("north", "east", "south", "west")
-LARGE_INTERVAL = 8
+MACHINES_PER_LARGE = 8
 BACKENDS_PER_NODE = 10
 BITS = 8
 STEP_SECONDS = 0.1
@@ -48,7 +48,9 @@
         self.capacity: dict[str, Capacity] = {}
         self.free_at: dict[str, float] = {}
         for number, host in enumerate(self.nodes):
-            self.capacity[host] = LARGE if number % LARGE_INTERVAL == LARGE_INTERVAL - 1 else SMALL
+            self.capacity[host] = (
+                LARGE if number % MACHINES_PER_LARGE == MACHINES_PER_LARGE - 1 else SMALL
+            )
             self.configure_node(self.nodes[host], number)
 
     def configure_node(self, node: Node, number: int) -> None:
@@ -140,7 +142,7 @@
 def main(count: int) -> None:
     network = CountingNetwork(count, seed=5)
     numbers = list(range(1, BACKENDS_PER_NODE * count + 1))
-    readers = list(network.nodes.values())[LARGE_INTERVAL - 1 :: LARGE_INTERVAL][:1]
+    readers = list(network.nodes.values())[MACHINES_PER_LARGE - 1 :: MACHINES_PER_LARGE][:1]
     network.run(15.0)
     learn_many(network, readers, numbers, 10)
     network.run(15.0)
--- a/tests/measurements/membership_faults.py
+++ b/tests/measurements/membership_faults.py
@@ -21,7 +21,7 @@
 PAUSE_REPEATS = 10
 CRASHES = 10
 SMALL_FLEET = 100
-START_TIMEOUT = 300.0
+START_TIMEOUT_SECONDS = 300.0
 
 
 def count_declared(fleet: Fleet) -> int:
@@ -65,7 +65,7 @@
 def run_until_listed(fleet: Fleet, total: int) -> float:
     """Return the seconds until every node lists all members, or infinity."""
     start = fleet.now
-    while fleet.now - start < START_TIMEOUT:
+    while fleet.now - start < START_TIMEOUT_SECONDS:
         fleet.run(0.5)
         if all(len(core.view.members) == total for core in fleet.cores.values()):
             return fleet.now - start
@@ -91,7 +91,7 @@
     item = machine(nodes)
     newcomer = fleet.add(item, [machine(0), machine(1), machine(2)])
     start = fleet.now
-    while not newcomer.snapshot().synchronized and fleet.now - start < START_TIMEOUT:
+    while not newcomer.snapshot().synchronized and fleet.now - start < START_TIMEOUT_SECONDS:
         fleet.run(0.1)
     listed = fleet.now - start
     fleet.do(item.node_id, newcomer.become_alive(fleet.now))
--- a/tests/unit/admission/test_limits.py
+++ b/tests/unit/admission/test_limits.py
@@ -6,7 +6,7 @@
 
 from beamloom.admission.limits import (
     FLOW_BURST_MINIMUM,
-    MAXIMUM_RETRY_AFTER,
+    MAXIMUM_RETRY_AFTER_SECONDS,
     PACKET_BURST_SECONDS,
     AdmissionDecision,
     TenantAdmission,
@@ -53,7 +53,7 @@
         times = [answer.retry_after for answer in refused]
         self.assertEqual(times, sorted(times))
         self.assertAlmostEqual(times[0], 0.1)
-        self.assertAlmostEqual(times[-1], MAXIMUM_RETRY_AFTER)
+        self.assertAlmostEqual(times[-1], MAXIMUM_RETRY_AFTER_SECONDS)
 
     def test_open_flows_refuse_until_one_closes(self) -> None:
         admission = admission_with(a=TenantLimits(open_flows=4))
--- a/tests/unit/backend_status/test_load_reports.py
+++ b/tests/unit/backend_status/test_load_reports.py
@@ -4,7 +4,7 @@
 
 from beamloom.replication.backend_status.evidence import BackendEvidence
 from beamloom.replication.backend_status.load_reports import (
-    CLASS_CHANGE_INTERVAL,
+    CLASS_CHANGE_INTERVAL_SECONDS,
     CLASS_COUNT,
     NEUTRAL_CLASS,
     LoadTracker,
@@ -32,7 +32,7 @@
         for load, bound in ((1e9, 0), (0.0, CLASS_COUNT - 1)):
             classes = weight_classes([load] * 100)
             self.assertEqual(classes[-1], bound)
-            steps = int(CLASS_CHANGE_INTERVAL / 2)
+            steps = int(CLASS_CHANGE_INTERVAL_SECONDS / 2)
             for earlier, later in zip(classes, classes[steps - 1 :], strict=False):
                 self.assertLessEqual(abs(later - earlier), 1)
         self.assertEqual((class_factor(0), class_factor(NEUTRAL_CLASS)), (0.25, 1.0))
--- a/tests/unit/test_configuration_replica.py
+++ b/tests/unit/test_configuration_replica.py
@@ -20,7 +20,7 @@
 from beamloom.protocol.messages import Message
 from beamloom.replication.backend_history import HISTORY_LENGTH
 from beamloom.replication.change_log import ChangeLog
-from beamloom.replication.configuration_replica import LISTING_DELAY, ConfigurationReplica
+from beamloom.replication.configuration_replica import LISTING_DELAY_SECONDS, ConfigurationReplica
 from beamloom.replication.configuration_state import (
     ConfigurationState,
     SnapshotCorruptError,
@@ -59,9 +59,9 @@
         """A listing lacks earlier backend sets, so peers must get time to supply the changes."""
         replica = make_replica()
         replica.accept_listing(9, [stored("tenant/t", 9)], 0.0)
-        replica.poll(LISTING_DELAY - 0.1)
+        replica.poll(LISTING_DELAY_SECONDS - 0.1)
         self.assertEqual(replica.applied_revision, 0)
-        replica.poll(LISTING_DELAY)
+        replica.poll(LISTING_DELAY_SECONDS)
         self.assertEqual(replica.applied_revision, 9)
 
 
--- a/tests/unit/test_reader_lease.py
+++ b/tests/unit/test_reader_lease.py
@@ -16,7 +16,7 @@
     StoreObjectRead,
     StoreWritten,
 )
-from beamloom.replication.configuration_replica import LISTING_DELAY, ConfigurationReplica
+from beamloom.replication.configuration_replica import LISTING_DELAY_SECONDS, ConfigurationReplica
 from beamloom.replication.reader_candidates import candidate_rank
 from beamloom.replication.reader_election import ReaderElection
 from beamloom.replication.reader_lease import HOLDING, ReaderLease
@@ -151,7 +151,7 @@
     def test_paused_reader_stops_before_it_handles_a_late_watch_answer(self) -> None:
         replica = ConfigurationReplica(NODE, random.Random(1), 0.0)
         replica.accept_listing(3, [], 0.0)
-        replica.poll(LISTING_DELAY)
+        replica.poll(LISTING_DELAY_SECONDS)
         ids = itertools.count(1)
         election = ReaderElection(
             NODE, replica, random.Random(1), ids, reader_count=1, lease_duration=DURATION
--- a/tests/unit/tokens/test_own_limits.py
+++ b/tests/unit/tokens/test_own_limits.py
@@ -22,7 +22,7 @@
 from beamloom.replication.fleet_share import RESULTS_TO_CHANGE, FleetShare
 from beamloom.routing.tokens.packets import ForwardPacket
 from beamloom.runtime.limit_watch import LimitWatch
-from beamloom.runtime.own_usage import SLOW_SAMPLE_INTERVAL, UsageProbe
+from beamloom.runtime.own_usage import SAMPLES_PER_SLOW_SAMPLE, UsageProbe
 from beamloom.settings.capacity import LEAST, Capacity, to_wire
 from beamloom.settings.mechanisms import ALL_MECHANISMS
 from tests.unit.tokens.builders import backend, make_core, opening, settled_share
@@ -131,7 +131,7 @@
     def test_unreadable_usage_is_counted_and_unknown(self) -> None:
         probe = UsageProbe(LARGE, (), Counter)
         with mock.patch("beamloom.runtime.own_usage._resident_megabytes", side_effect=OSError):
-            for sample in range(SLOW_SAMPLE_INTERVAL + 1):
+            for sample in range(SAMPLES_PER_SLOW_SAMPLE + 1):
                 usage = probe.sample(float(sample))
         self.assertIsNone(usage.memory)
         self.assertEqual(probe.counters["unreadable_OSError"], 2)
