--- a/tools/regression.py
+++ b/tools/regression.py
@@ -1,8 +1,8 @@
-"""Score the kept sites of the users' bench, and print each day beside the figure kept here.
+"""Score sites of the users' bench and compare the worth of each day with a stored baseline.
 
-A day that fell by more than NOISE_WORTH, a day or site without a kept figure, and a gate that
-failed are told at the end; exit status 1 where a day fell or a gate failed. Figures are kept in
-`tools/regression.json`; `--keep` writes those that were just measured.
+The exit status is 1 if a day fell by more than NOISE_WORTH or a gate failed; these are listed at
+the end. A day without a baseline is shown with `-`. The baseline is in `tools/regression.json`;
+`--keep` stores the figures of this run.
 
     python3 tools/regression.py BENCH SITE.toml... --why "..."
 """
@@ -18,20 +18,20 @@
 from pathlib import Path
 from typing import NamedTuple
 
-KEPT = Path(__file__).with_suffix(".json")
+BASELINE_FILE = Path(__file__).with_suffix(".json")
 NOISE_WORTH = 0.005
-"""Runs of one seed differ by so much, as processor time is measured (docs/DECIDING.md)."""
+"""Difference between runs with the same seed, since the bench charges measured processor time."""
 JOBS = 4
 DAY_ROW = re.compile(r"^(\S+) +\d+/\d+ +[\d.]+ +([\d.]+) ", re.MULTILINE)
 GATE_PASSED = "GATE passed"
-DRAWN = "fresh-"
-"""Days that were drawn just now begin so; they have no figure to compare with."""
+FRESH_PREFIX = "fresh-"
+"""Prefix of days that the bench draws at random for each run, which have no baseline."""
 
-Figures = dict[str, dict[str, float]]
+WorthsBySite = dict[str, dict[str, float]]
 
 
 class DayChange(NamedTuple):
-    """The worth of a day before and now; `before` is None where no figure is kept."""
+    """The worth of a day in the baseline and now; `before` is None without a baseline."""
 
     site: str
     day: str
@@ -40,12 +40,12 @@
 
     @property
     def fell(self) -> bool:
-        """Whether the day is worth less by more than noise."""
+        """Whether the worth fell by more than NOISE_WORTH."""
         return self.before is not None and self.before - self.now > NOISE_WORTH
 
     @property
     def row(self) -> str:
-        """A line of the printed table."""
+        """The line of the printed table."""
         before = "-" if self.before is None else f"{self.before:.3f}"
         change = "" if self.before is None else f"{self.now - self.before:+.3f}"
         note = "  FELL" if self.fell else ""
@@ -53,34 +53,36 @@
 
 
 def read_worths(output: str) -> dict[str, float]:
-    """Return the worth of each day that a score's output tells."""
+    """Return the worth by day from the output of the bench's `score` command."""
     return {match[1]: float(match[2]) for match in DAY_ROW.finditer(output)}
 
 
-def compare(site: str, worths: Mapping[str, float], kept: Figures) -> list[DayChange]:
-    """Return the days of a site with what is kept of them, in the order they were played."""
-    before = kept.get(site, {})
+def compare(site: str, worths: Mapping[str, float], baseline: WorthsBySite) -> list[DayChange]:
+    """Pair the days of a site with their baseline, in the order of `worths`."""
+    before = baseline.get(site, {})
     return [DayChange(site, day, before.get(day), worth) for day, worth in worths.items()]
 
 
 def main() -> int:
-    """Score, compare, print; return the exit status."""
+    """Print the comparison; return the exit status."""
     arguments = _parse_arguments()
-    kept: Figures = json.loads(KEPT.read_text()) if KEPT.exists() else {}
+    baseline: WorthsBySite = json.loads(BASELINE_FILE.read_text()) if BASELINE_FILE.exists() else {}
     failures: list[str] = []
     for site in map(Path, arguments.sites):
         output = _score(arguments.bench, site, arguments.why)
         worths = read_worths(output)
-        changes = compare(site.stem, worths, kept)
+        changes = compare(site.stem, worths, baseline)
         print("\n".join(change.row for change in changes), flush=True)
         failures += [f"{change.site} {change.day} fell" for change in changes if change.fell]
         if GATE_PASSED not in output:
             failures.append(f"{site.stem}: gate not passed\n{output[-500:]}")
         if arguments.keep:
-            standard = {day: worth for day, worth in worths.items() if not day.startswith(DRAWN)}
-            kept[site.stem] = standard
+            site_days = {
+                day: worth for day, worth in worths.items() if not day.startswith(FRESH_PREFIX)
+            }
+            baseline[site.stem] = site_days
     if arguments.keep:
-        KEPT.write_text(json.dumps(kept, indent=1, sort_keys=True) + "\n")
+        BASELINE_FILE.write_text(json.dumps(baseline, indent=1, sort_keys=True) + "\n")
     print("\n".join(failures) or "nothing fell")
     return 1 if failures else 0
 
@@ -90,7 +92,9 @@
     parser.add_argument("bench")
     parser.add_argument("sites", nargs="+")
     parser.add_argument("--why", required=True)
-    parser.add_argument("--keep", action="store_true", help="keep the figures measured now")
+    parser.add_argument(
+        "--keep", action="store_true", help="store the figures of this run as baseline"
+    )
     return parser.parse_args()
 
 
